--- a/forklift/gate.py
+++ b/forklift/admission.py
@@ -132,7 +132,7 @@
     usual: latency.Latency
 
 
-class Gate:
+class Controller:
     """Slots, queue and doubt of one target."""
 
     def __init__(self, name: str, service: str, slots: int):
--- a/forklift/chooser.py
+++ b/forklift/chooser.py
@@ -12,8 +12,7 @@
 import random
 from collections.abc import Callable
 
-from forklift import budget
-from forklift import gate
+from forklift import admission
 from forklift import health
 from forklift import latency
 from forklift import messages
@@ -21,7 +20,8 @@
 from forklift import paths
 from forklift import policy
 from forklift import rates
-from forklift import sizes
+from forklift import response_sizes
+from forklift import retry_budget
 from forklift import spread
 from forklift import target_view
 
@@ -46,7 +46,7 @@
 IDLE_LEAST = 0.3
 PAUSES_LEFT = 1.6
 # As a gate tells that it never had work, less the time since it said so.
-NEVER_USED = gate.NEVER - 10.0
+NEVER_USED = admission.NEVER - 10.0
 # Seconds between two scouts of this entry to one target.
 SCOUT_GAP = 0.25
 # Risk up to which a doubted target is better than to wait on.
@@ -80,7 +80,7 @@
 
     service: str
     repeatable: bool
-    insist: gate.Insist = gate.Insist.PROVEN
+    insist: admission.Insist = admission.Insist.PROVEN
     scout: bool = True
     wait: bool = False
     kilobytes: float = 0.0
@@ -98,7 +98,7 @@
 
     target: str
     process: str
-    insist: gate.Insist = gate.Insist.PROVEN
+    insist: admission.Insist = admission.Insist.PROVEN
 
 
 @dataclasses.dataclass(frozen=True)
@@ -126,7 +126,9 @@
         self.view_by_target: dict[str, View] = {}
         self.failing = rates.Failing()
         self.subset: list[str] | None = None
-        self.budget = budget.Budget(bounds.ratio, bounds.window, bounds.reserve)
+        self.budget = retry_budget.RetryBudget(
+            bounds.ratio, bounds.window, bounds.reserve
+        )
 
 
 class Chooser:
@@ -143,7 +145,7 @@
     ):
         self.paths = paths.Paths()
         self.latencies = latency.Latencies()
-        self.sizes = sizes.Sizes()
+        self.response_sizes = response_sizes.ResponseSizes()
         # The shortest latency objective of each service's routes, seconds.
         self.least_aim_by_service: dict[str, float] = {}
         # Cost of a kilobyte between failure domains, as a part of a request.
@@ -264,12 +266,14 @@
             for views in known
         )
         view = self._idle(wish, sound, group, now)
-        insist = gate.Insist.PROVEN if view is None else gate.Insist.SOUND
+        insist = (
+            admission.Insist.PROVEN if view is None else admission.Insist.SOUND
+        )
         if view is None and wish.repeatable and wish.scout:
             view = self._test(sound, doubted, now)
         if view is None:
             pool = sound or shedding
-            anyhow = wish.repeatable and wish.insist is gate.Insist.ANY
+            anyhow = wish.repeatable and wish.insist is admission.Insist.ANY
             if not pool and anyhow:
                 promising = [v for v in doubted if v.risk(now) <= PROMISING]
                 pool = doubted if hopeless else promising
--- a/forklift/figures.py
+++ b/forklift/counters.py
@@ -38,15 +38,17 @@
         return found
 
 
-class Figures:
+class Counters:
     """The counters and histograms of one process."""
 
     def __init__(self):
         self.requests_by_outcome: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
-        self.seconds_by_service: dict[str, Histogram] = {}
-        self.doubts_by_sign: collections.Counter[str] = collections.Counter()
+        self.durations_by_service: dict[str, Histogram] = {}
+        self.ejections_by_signal: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     def refusal(self, reason: str) -> None:
         """What came was refused before it was a request of any service."""
@@ -57,7 +59,7 @@
     ) -> None:
         """A request of a caller ended."""
         self.requests_by_outcome[(outcome, reason)] += 1
-        histogram = self.seconds_by_service.get(service)
+        histogram = self.durations_by_service.get(service)
         if histogram is None:
-            histogram = self.seconds_by_service[service] = Histogram()
+            histogram = self.durations_by_service[service] = Histogram()
         histogram.add(seconds)
--- a/forklift/exposure.py
+++ b/forklift/crash_candidates.py
@@ -16,7 +16,7 @@
     ended: float | None = None
 
 
-class Exposure:
+class CrashCandidates:
     """The requests that one life of a target was given and did not answer."""
 
     def __init__(self):
--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -161,7 +161,7 @@
         origin: Service on the instance where the request began.
         priority: Rank; 0 is the most urgent.
         insist: How much doubt about its target it accepts; see
-            `gate.Insist`.
+            `admission.Insist`.
         aim: Seconds left, when sent, for an answer of full worth; negative
             when that has passed.
         wait: Whether it waits for a slot, rather than being refused.
--- a/forklift/sizes.py
+++ b/forklift/response_sizes.py
@@ -8,10 +8,10 @@
 MAX_ROUTES = 256
 
 
-class Sizes:
+class ResponseSizes:
     """Mean sizes of answers, by route.
 
-    >>> sizes = Sizes()
+    >>> sizes = ResponseSizes()
     >>> sizes.of("r")
     0.0
     >>> sizes.note("r", 2000)
--- a/forklift/budget.py
+++ b/forklift/retry_budget.py
@@ -37,10 +37,10 @@
         return len(self._times)
 
 
-class Budget:
+class RetryBudget:
     """The part of one process in the budget of one service.
 
-    >>> budget = Budget(ratio=0.5, window=10.0, reserve=2.0)
+    >>> budget = RetryBudget(ratio=0.5, window=10.0, reserve=2.0)
     >>> budget.spend(0.0, 1), budget.spend(0.0, 1)
     (True, False)
     """
--- a/forklift/shell/announced.py
+++ b/forklift/shell/announced.py
@@ -5,10 +5,10 @@
 
 import structlog
 
+from forklift import admission
 from forklift import announcement
 from forklift import catalog
 from forklift import dialect
-from forklift import gate
 from forklift import settings
 from forklift import unreadable
 from forklift.shell import beside as besides
@@ -86,7 +86,7 @@
             site = self._add(said)
         elif said.leaving:
             self._beside.drain(name)
-        site.gate.cold_until = now + said.cold
+        site.controller.cold_until = now + said.cold
         if self.stopping:
             self._beside.pause(name)
 
@@ -152,10 +152,10 @@
     def follow(self, current: catalog.Catalog) -> None:
         """Takes the services of a new configuration, and their bounds."""
         for name, site in list(self._beside.site_by_target.items()):
-            service = current.services_by_name.get(site.gate.service)
+            service = current.services_by_name.get(site.controller.service)
             if service is not None:
                 site.pool.most = service.connections
-            elif not self._is_served(site.gate.service):
+            elif not self._is_served(site.controller.service):
                 self._remove(name)
                 self._on_change()
 
@@ -223,7 +223,7 @@
         most = service.connections if service else DEFAULT_CONNECTIONS
         site = besides.Site(
             said.life.target,
-            gate.Gate(name, said.service, said.slots),
+            admission.Controller(name, said.service, said.slots),
             pools.Pool(said.address, most, self._clock.monotonic),
         )
         self._beside.add(name, site)
--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -7,10 +7,10 @@
 import msgspec
 import structlog
 
+from forklift import admission
+from forklift import crash_candidates
 from forklift import dialect as dialects
-from forklift import exposure as exposures
 from forklift import fences
-from forklift import gate
 from forklift import health
 from forklift import messages
 from forklift import policy
@@ -38,16 +38,16 @@
     Attributes:
         target: The name that the target gives itself; its gate has that of
             its life.
-        gate: Admits its requests.
+        controller: Admits its requests.
         pool: Its connections.
-        exposure: What it was given and did not answer.
+        candidates: What it was given and did not answer.
     """
 
     target: str
-    gate: gate.Gate
+    controller: admission.Controller
     pool: pools.Pool
-    exposure: exposures.Exposure = dataclasses.field(
-        default_factory=exposures.Exposure
+    candidates: crash_candidates.CrashCandidates = dataclasses.field(
+        default_factory=crash_candidates.CrashCandidates
     )
 
 
@@ -123,37 +123,37 @@
         Others ask for it by the earlier one until they have heard.
         """
         site = self.site_by_target.pop(before)
-        site.gate.name = name
+        site.controller.name = name
         self.site_by_target[name] = site
         self._name_by_earlier = {before: name}
 
     def drain(self, name: str) -> None:
         """A target takes no new request from now on."""
         site = self.site_by_target[name]
-        self._settle(site, site.gate.drain())
+        self._settle(site, site.controller.drain())
 
     def pause(self, name: str) -> None:
         """This process stops: a target takes no new request through it."""
         site = self.site_by_target[name]
-        self._settle(site, site.gate.pause())
+        self._settle(site, site.controller.pause())
 
     def leave(self, name: str) -> None:
         """A target is gone."""
         site = self.site_by_target[name]
-        self._settle(site, site.gate.leave())
+        self._settle(site, site.controller.leave())
 
     def tick(self, now: float) -> None:
         """Lets time pass for every target."""
         for site in self.site_by_target.values():
-            version = site.gate.version
-            self._settle(site, site.gate.tick(now), version)
+            version = site.controller.version
+            self._settle(site, site.controller.tick(now), version)
 
     # Requests.
 
     async def run(
         self,
         target: str,
-        ticket: gate.Ticket,
+        ticket: admission.Ticket,
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
@@ -203,7 +203,7 @@
         if not task.cancelled() and task.exception() is not None:
             _log.info("detached_ended", detail=repr(task.exception()))
 
-    def _fenced(self, ticket: gate.Ticket) -> exchange.Result:
+    def _fenced(self, ticket: admission.Ticket) -> exchange.Result:
         if self.fences.started(ticket.id):
             return exchange.unknown(Reason.FENCED)
         return exchange.not_run(Reason.FENCED)
@@ -211,16 +211,16 @@
     async def _admitted(
         self,
         site: Site,
-        ticket: gate.Ticket,
+        ticket: admission.Ticket,
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
         self.running += 1
         try:
-            decision = site.gate.arrive(ticket, self._clock.monotonic())
-            if isinstance(decision, gate.Wait):
+            decision = site.controller.arrive(ticket, self._clock.monotonic())
+            if isinstance(decision, admission.Wait):
                 decision = await self._wait(site, ticket)
-            if isinstance(decision, gate.Refuse):
+            if isinstance(decision, admission.Refuse):
                 self.fences.check_not_run(ticket.id)
                 load = self._load(site, request.route)
                 return exchange.not_run(
@@ -230,16 +230,18 @@
         finally:
             self.running -= 1
 
-    async def _wait(self, site: Site, ticket: gate.Ticket) -> gate.Decision:
+    async def _wait(
+        self, site: Site, ticket: admission.Ticket
+    ) -> admission.Decision:
         future = asyncio.get_running_loop().create_future()
         self._decision_by_id[ticket.id] = future
         try:
             return await future
         except asyncio.CancelledError:
             started = future.done() and not future.cancelled()
-            if started and isinstance(future.result(), gate.Start):
+            if started and isinstance(future.result(), admission.Start):
                 self._finish(site, ticket, None)
-            site.gate.cancel(ticket)
+            site.controller.cancel(ticket)
             raise
         finally:
             self._decision_by_id.pop(ticket.id, None)
@@ -247,7 +249,7 @@
     async def _started(
         self,
         site: Site,
-        ticket: gate.Ticket,
+        ticket: admission.Ticket,
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
@@ -255,12 +257,12 @@
             site.pool,
             request,
             site.target,
-            site.gate.name,
+            site.controller.name,
             self._dialect,
             self._clock.monotonic,
         )
         sign: Sign | None = None
-        exposed = site.exposure
+        exposed = site.candidates
         try:
             remaining = ticket.deadline - self._clock.monotonic()
             async with asyncio.timeout(max(0.0, remaining)):
@@ -270,11 +272,11 @@
                     sink,
                 )
             exposed.survived(ticket.id)
-            sign = self._sign(site.gate.service, status)
+            sign = self._sign(site.controller.service, status)
             if sign is Sign.WELL:
                 # In a bad phase it may fail what would crash it otherwise.
                 self._served(request.fingerprint)
-            result = exchange.answered(status, site.gate.name)
+            result = exchange.answered(status, site.controller.name)
         except pools.NotSent as error:
             exposed.survived(ticket.id)
             if isinstance(error.__cause__, ConnectionRefusedError):
@@ -295,7 +297,7 @@
             _log.warning(
                 "answer_broken",
                 request=request.id,
-                target=site.gate.name,
+                target=site.controller.name,
                 reason=str(reason),
                 detail=str(error),
             )
@@ -307,29 +309,29 @@
             self._finish(site, ticket, sign)
         return dataclasses.replace(result, load=self._load(site, request.route))
 
-    async def _ended(self, site: Site, ticket: gate.Ticket) -> bool:
+    async def _ended(self, site: Site, ticket: admission.Ticket) -> bool:
         """Whether a target whose answer broke off has ended.
 
         Most that break answers off live on.
         """
-        if not site.exposure.has(ticket.id):
+        if not site.candidates.has(ticket.id):
             # Another request that it ran found out already.
             return True
-        if await site.pool.refuses() and site.exposure.has(ticket.id):
+        if await site.pool.refuses() and site.candidates.has(ticket.id):
             self.crashed(site)
-        return not site.exposure.has(ticket.id)
+        return not site.candidates.has(ticket.id)
 
     def crashed(self, site: Site) -> None:
         """A target ended; unless it said before that it leaves, it crashed."""
         now = self._clock.monotonic()
-        running = site.exposure.crash(now)
-        if not running or site.gate.left:
+        running = site.candidates.crash(now)
+        if not running or site.controller.left:
             return
         crash = secrets.randbits(_CRASH_BITS)
         self._quarantine.crashed(running, crash, now)
         _log.warning(
             "target_crashed",
-            target=site.gate.name,
+            target=site.controller.name,
             running=[one.hex() for one in running],
             held=[
                 one.hex()
@@ -346,11 +348,11 @@
             self._on_evidence()
 
     def _launch(
-        self, site: Site, ticket: gate.Ticket, fingerprint: bytes
+        self, site: Site, ticket: admission.Ticket, fingerprint: bytes
     ) -> Reason | None:
         """The first byte is about to be sent: the point of no return."""
         now = self._clock.monotonic()
-        if site.gate.leaving:
+        if site.controller.leaving:
             return Reason.DRAINING
         if ticket.deadline <= now:
             return Reason.DEADLINE
@@ -359,36 +361,36 @@
             return Reason.QUARANTINED
         if not self.fences.start(ticket.id, now):
             return Reason.FENCED
-        site.exposure.begin(ticket.id, fingerprint, now)
+        site.candidates.begin(ticket.id, fingerprint, now)
         return None
 
     def _load(self, site: Site, route: str) -> messages.Load:
         now = self._clock.monotonic()
-        failing = self._failing(site.gate.service, now)
+        failing = self._failing(site.controller.service, now)
         return msgspec.structs.replace(
-            site.gate.load(now, route), failing=failing
+            site.controller.load(now, route), failing=failing
         )
 
     def _sign(self, service: str, status: int) -> Sign:
         program: policy.Service = self._program(service)
         return Sign.ERROR if program.is_failure(status) else Sign.WELL
 
-    def _timed_out(self, ticket: gate.Ticket) -> exchange.Result:
+    def _timed_out(self, ticket: admission.Ticket) -> exchange.Result:
         if self.fences.started(ticket.id):
             return exchange.unknown(Reason.TIMEOUT)
         return exchange.not_run(Reason.DEADLINE)
 
     def _finish(
-        self, site: Site, ticket: gate.Ticket, sign: Sign | None
+        self, site: Site, ticket: admission.Ticket, sign: Sign | None
     ) -> None:
-        version = site.gate.version
+        version = site.controller.version
         now = self._clock.monotonic()
-        self._settle(site, site.gate.finish(ticket, sign, now), version)
+        self._settle(site, site.controller.finish(ticket, sign, now), version)
 
     def _settle(
         self,
         site: Site,
-        decisions: list[gate.Decision],
+        decisions: list[admission.Decision],
         version: int = -1,
     ) -> None:
         """Wakes the requests that a gate has decided on."""
@@ -396,8 +398,8 @@
             future = self._decision_by_id.pop(decision.ticket.id, None)
             if future is not None and not future.done():
                 future.set_result(decision)
-            elif isinstance(decision, gate.Start):
+            elif isinstance(decision, admission.Start):
                 # The waiter is gone; its slot goes to the next.
                 self._finish(site, decision.ticket, None)
-        if version != site.gate.version:
-            self._on_change(site.gate)
+        if version != site.controller.version:
+            self._on_change(site.controller)
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -12,8 +12,8 @@
 
 import structlog
 
+from forklift import admission
 from forklift import chooser as choosers
-from forklift import gate
 from forklift import invariants
 from forklift import latency
 from forklift import messages
@@ -232,7 +232,7 @@
         """Size of the request and of its answer, as far as known."""
         request = self._request
         sent = max(request.length, len(request.body.first))
-        return (sent + self._chooser.sizes.of(request.route)) / 1024
+        return (sent + self._chooser.response_sizes.of(request.route)) / 1024
 
     def _held_for(self) -> float:
         """Seconds for which it is held back, as it crashes targets."""
@@ -441,7 +441,9 @@
                 self._turn.give_back(holding)
             load = result.load if result is not None else None
             if holding.length > 0:
-                self._chooser.sizes.note(self._request.route, holding.length)
+                self._chooser.response_sizes.note(
+                    self._request.route, holding.length
+                )
             service = self._request.service
             self._chooser.ended(service, choice, load, self._now(), self._usual)
 
@@ -449,11 +451,11 @@
         self,
         choice: choosers.Choice,
         sink: exchange.Sink,
-        insist: gate.Insist,
+        insist: admission.Insist,
         start_by: float,
     ) -> exchange.Result:
         request = self._request
-        ticket = gate.Ticket(
+        ticket = admission.Ticket(
             (self._forwarder.boot, self._forwarder.next_seq()),
             request.repeatable,
             request.priority,
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -7,10 +7,10 @@
 
 import structlog
 
+from forklift import admission
 from forklift import catalog
 from forklift import chooser as choosers
 from forklift import dissemination
-from forklift import gate
 from forklift import gossip
 from forklift import membership
 from forklift import messages
@@ -261,7 +261,7 @@
     def describe(self) -> bool:
         """Describes this process anew; True when that is news."""
         targets = tuple(
-            self._info(site.gate)
+            self._info(site.controller)
             for site in self._beside.site_by_target.values()
         )
         if targets == self.directory.own.targets:
@@ -269,7 +269,7 @@
         self.directory.update_own(targets=targets)
         return True
 
-    def _info(self, found: gate.Gate) -> messages.TargetInfo:
+    def _info(self, found: admission.Controller) -> messages.TargetInfo:
         """What every process is told: only what seldom changes.
 
         Doubt and load come and go within seconds; they travel on answers and
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -10,12 +10,12 @@
 
 import structlog
 
+from forklift import admission
 from forklift import catalog
 from forklift import chooser
+from forklift import counters
 from forklift import dialect
 from forklift import errors
-from forklift import figures
-from forklift import gate
 from forklift import invariants
 from forklift import messages
 from forklift import policy
@@ -96,7 +96,7 @@
         self.stopping = False
         # Of its stop, once that was asked for.
         self.bounds: stopping.Bounds | None = None
-        self.figures = figures.Figures()
+        self.counters = counters.Counters()
         self.in_force = catalog.InForce()
         self.configuring = configuring.Configuring(
             decode,
@@ -215,7 +215,7 @@
                 next_seq=self.forwarder.next_seq,
                 on_result=self._on_result,
                 origin=lambda: self.settings.platform.service,
-                on_problem=self.figures.refusal,
+                on_problem=self.counters.refusal,
             ),
             self.settings.limits.callers,
             self.clock,
@@ -412,7 +412,7 @@
         self.ticker.nudge(0.0)
         self.keeper.crashed()
 
-    def _target_changed(self, changed: gate.Gate) -> None:
+    def _target_changed(self, changed: admission.Controller) -> None:
         """A target's state changed: those who send to it hear at once."""
         load = changed.load(self.clock.monotonic())
         standing = messages.Standing(changed.name, load)
@@ -422,7 +422,7 @@
         for served in list(self.served):
             served.tell(standing, since)
         if changed.health.raised:
-            self.figures.doubts_by_sign[str(changed.health.sign)] += 1
+            self.counters.ejections_by_signal[str(changed.health.sign)] += 1
         _log.info(
             "target_changed",
             target=changed.name,
@@ -470,12 +470,12 @@
             fingerprint=start.fingerprint,
             organisation=start.organisation,
         )
-        ticket = gate.Ticket(
+        ticket = admission.Ticket(
             (served.peer.boot, start.seq),
             start.repeatable,
             start.priority,
             request.deadline,
-            gate.Insist(min(start.insist, gate.Insist.ANY)),
+            admission.Insist(min(start.insist, admission.Insist.ANY)),
             now + start.aim,
             start.route,
             start.wait,
@@ -530,7 +530,7 @@
         ending = result.ending
         outcome = str(ending.outcome)
         reason = str(ending.reason or "")
-        self.figures.request(request.service, outcome, reason, seconds)
+        self.counters.request(request.service, outcome, reason, seconds)
         failed = ending.outcome is not messages.Outcome.ANSWERED
         if failed or ending.status >= 400:
             _log.info(
@@ -615,15 +615,17 @@
         others go on with targets that they know to be well.
         """
         for site in self.beside.site_by_target.values():
-            load = site.gate.load(now)
+            load = site.controller.load(now)
             usable = load.state in _ASKS_FOR_WORK
             if usable and load.idle > IDLE_FOR and self.in_force.known:
-                self.neighbours.ask_for_work(site.gate.name, load)
+                self.neighbours.ask_for_work(site.controller.name, load)
 
     def _look_beside(self, now: float) -> None:
         """Keeps the choice of targets up to date on those beside."""
         for site in self.beside.site_by_target.values():
-            self.chooser.report(site.gate.name, site.gate.load(now), now)
+            self.chooser.report(
+                site.controller.name, site.controller.load(now), now
+            )
 
     def _observe(self) -> None:
         """Notices a pause of this process, before anything else is done.
@@ -638,7 +640,7 @@
         self.incarnation += 1
         _log.warning("paused", seconds=round(paused, 2))
         for site in self.beside.site_by_target.values():
-            site.gate.excuse(paused)
+            site.controller.excuse(paused)
         self.neighbours.paused()
 
 
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -27,7 +27,7 @@
     """The full dump of a process."""
     requests = {
         "/".join(part for part in key if part): count
-        for key, count in proxy.figures.requests_by_outcome.items()
+        for key, count in proxy.counters.requests_by_outcome.items()
     }
     return report.State(
         status(proxy),
@@ -85,7 +85,7 @@
     site = proxy.beside.site_by_target.get(name)
     if site is None:
         return None
-    found = site.gate
+    found = site.controller
     load = found.load(proxy.clock.monotonic())
     return report.Explanation(
         name,
@@ -113,7 +113,7 @@
             str(change.sign),
             change.risk,
         )
-        for change in site.gate.health.changes
+        for change in site.controller.health.changes
     )
 
 
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -11,9 +11,9 @@
 import msgspec
 import structlog
 
+from forklift import admission
 from forklift import chooser as choosers
 from forklift import errors
-from forklift import gate
 from forklift import messages
 from forklift.shell import beside as besides
 from forklift.shell import exchange
@@ -61,7 +61,7 @@
         request: exchange.Request,
         choice: choosers.Choice,
         sink: exchange.Sink,
-        insist: gate.Insist,
+        insist: admission.Insist,
         wait: bool,
         start_by: float,
         alone: bool = False,
@@ -95,7 +95,7 @@
         request: exchange.Request,
         choice: choosers.Choice,
         sink: exchange.Sink,
-        insist: gate.Insist,
+        insist: admission.Insist,
         wait: bool,
         start_by: float,
         alone: bool = False,
@@ -208,7 +208,7 @@
     target: str,
     request: exchange.Request,
     remaining: float,
-    insist: gate.Insist,
+    insist: admission.Insist,
 ) -> messages.RequestStart:
     small = len(request.body.first) < FOLLOWING_BYTES
     complete = request.body.complete and small
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -51,7 +51,7 @@
         )
 
     def _add_requests(self, proxy) -> None:
-        kept = proxy.figures
+        kept = proxy.counters
         self.counter(
             "forklift.requests",
             "Requests at this entry by outcome and reason",
@@ -67,7 +67,7 @@
             "Requests that took up to `le` seconds",
             lambda: [
                 (count, {"service": service, "le": bound})
-                for service, found in kept.seconds_by_service.items()
+                for service, found in kept.durations_by_service.items()
                 for bound, count in found.cumulative()
             ],
         )
@@ -76,7 +76,7 @@
             "Seconds that requests took in all",
             lambda: [
                 (found.sum, {"service": service})
-                for service, found in kept.seconds_by_service.items()
+                for service, found in kept.durations_by_service.items()
             ],
         )
         self.counter(
@@ -96,7 +96,7 @@
             "Doubts raised about targets beside, by sign",
             lambda: [
                 (count, {"sign": sign})
-                for sign, count in proxy.figures.doubts_by_sign.items()
+                for sign, count in proxy.counters.ejections_by_signal.items()
             ],
         )
         self.counter(
@@ -105,7 +105,7 @@
             lambda: [
                 (count, {"reason": str(reason)})
                 for site in sites.values()
-                for reason, count in site.gate.refusals_by_reason.items()
+                for reason, count in site.controller.refusals_by_reason.items()
             ],
         )
         self.gauge(
@@ -115,8 +115,8 @@
                 (value, {"kind": kind})
                 for site in sites.values()
                 for kind, value in (
-                    ("running", site.gate.running),
-                    ("waiting", site.gate.waiting),
+                    ("running", site.controller.running),
+                    ("waiting", site.controller.waiting),
                 )
             ],
         )
--- a/forklift/walk.py
+++ b/forklift/walk.py
@@ -8,7 +8,7 @@
 import dataclasses
 import math
 
-from forklift import gate
+from forklift import admission
 from forklift import latency
 from forklift import messages
 
@@ -124,12 +124,12 @@
         timely = max(aim - usual.expected, self.started + LEAST_WAIT)
         return min(latest, timely)
 
-    def insist(self, now: float) -> gate.Insist:
+    def insist(self, now: float) -> admission.Insist:
         """How much doubt about a target it accepts by now."""
         whole = self.deadline - self.started
         if now >= self.started + INSIST_SHARE * whole:
-            return gate.Insist.ANY
-        return gate.Insist.SOUND if self.sound else gate.Insist.PROVEN
+            return admission.Insist.ANY
+        return admission.Insist.SOUND if self.sound else admission.Insist.PROVEN
 
     def accept_more(self) -> bool:
         """Accepts a worse target, where that is left; True when it is.
--- a/test/replay.py
+++ b/test/replay.py
@@ -11,7 +11,7 @@
 import random
 from collections.abc import Callable
 
-from forklift import gate
+from forklift import admission
 from forklift import health
 from forklift import walk
 from forklift.shell import ticking
@@ -73,14 +73,16 @@
     def __init__(
         self, gates: int, slots: int, bad: Callable[[int, float], bool]
     ):
-        self.gates = [gate.Gate(f"t{n}", "s", slots) for n in range(gates)]
+        self.gates = [
+            admission.Controller(f"t{n}", "s", slots) for n in range(gates)
+        ]
         self.courses: list[Course] = []
         self._bad = bad
         self._rng = random.Random(11)
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = itertools.count()
         self._asked_by_id: dict[
-            tuple[int, int], tuple[Course, walk.Walk, gate.Gate]
+            tuple[int, int], tuple[Course, walk.Walk, admission.Controller]
         ] = {}
 
     def come(self, at: float, kind: Kind) -> None:
@@ -115,7 +117,7 @@
             return
         found = self._rng.choice(left)
         usual = found.latencies.of(kind.route, kind.aim)
-        ticket = gate.Ticket(
+        ticket = admission.Ticket(
             (1, next(self._numbers)),
             kind.repeatable,
             kind.priority,
@@ -129,12 +131,12 @@
         self._asked_by_id[ticket.id] = (course, walked, found)
         self._decided([found.arrive(ticket, now)], now)
 
-    def _decided(self, decisions: list[gate.Decision], now: float) -> None:
+    def _decided(self, decisions: list[admission.Decision], now: float) -> None:
         for decision in decisions:
-            if isinstance(decision, gate.Wait):
+            if isinstance(decision, admission.Wait):
                 continue
             asked = self._asked_by_id.pop(decision.ticket.id)
-            if isinstance(decision, gate.Start):
+            if isinstance(decision, admission.Start):
                 self._start(*asked, decision.ticket, now)
             else:
                 self._refused(*asked, decision, now)
@@ -143,8 +145,8 @@
         self,
         course: Course,
         walked: walk.Walk,
-        found: gate.Gate,
-        decision: gate.Refuse,
+        found: admission.Controller,
+        decision: admission.Refuse,
         now: float,
     ) -> None:
         course.ended = now
@@ -157,8 +159,8 @@
         self,
         course: Course,
         walked: walk.Walk,
-        found: gate.Gate,
-        ticket: gate.Ticket,
+        found: admission.Controller,
+        ticket: admission.Ticket,
         now: float,
     ) -> None:
         walked.ran(found.name)
--- a/test/test_gate.py
+++ b/test/test_admission.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from forklift import gate
+from forklift import admission
 from forklift import health
 from forklift import latency
 from forklift import messages
@@ -15,8 +15,8 @@
 _numbers = itertools.count(1)
 
 
-def made(slots: int = 2, proven: bool = True) -> gate.Gate:
-    found = gate.Gate("t", "s", slots)
+def made(slots: int = 2, proven: bool = True) -> admission.Controller:
+    found = admission.Controller("t", "s", slots)
     usual = latency.Latency(0.01)
     for number in range(4 if proven else 0):
         found.health.begin(number, usual, -0.01)
@@ -25,20 +25,20 @@
     return found
 
 
-def takes(found: gate.Gate, seconds: float) -> None:
+def takes(found: admission.Controller, seconds: float) -> None:
     """Teaches the gate how long its requests take."""
     helper.takes(found.latencies.of("", 0.3), seconds)
 
 
-def break_off(found: gate.Gate, now: float) -> None:
+def break_off(found: admission.Controller, now: float) -> None:
     """The target breaks the connections of two requests."""
     for _ in range(2):
-        one = ticket(insist=gate.Insist.ANY, repeatable=True)
+        one = ticket(insist=admission.Insist.ANY, repeatable=True)
         found.arrive(one, now)
         found.finish(one, Sign.BROKEN, now)
 
 
-def ticket(**changes) -> gate.Ticket:
+def ticket(**changes) -> admission.Ticket:
     fields = {
         "id": (1, next(_numbers)),
         "repeatable": False,
@@ -46,10 +46,12 @@
         "deadline": 10.0,
     }
     fields.update(changes)
-    return gate.Ticket(**fields)
+    return admission.Ticket(**fields)
 
 
-def fill(found: gate.Gate, count: int, now: float = 0.0) -> list[gate.Ticket]:
+def fill(
+    found: admission.Controller, count: int, now: float = 0.0
+) -> list[admission.Ticket]:
     tickets = [ticket() for _ in range(count)]
     for one in tickets:
         found.arrive(one, now)
@@ -59,7 +61,7 @@
 def test_slots_bound_what_runs():
     found = made(slots=2)
     fill(found, 2)
-    assert isinstance(found.arrive(ticket(), 0.0), gate.Wait)
+    assert isinstance(found.arrive(ticket(), 0.0), admission.Wait)
     assert found.running == 2
 
 
@@ -72,7 +74,7 @@
     order = []
     for done in (running, urgent, early):
         decisions = found.finish(done, Sign.WELL, 0.1)
-        order += [d.ticket for d in decisions if isinstance(d, gate.Start)]
+        order += [d.ticket for d in decisions if isinstance(d, admission.Start)]
     assert order == [urgent, early, late]
 
 
@@ -90,7 +92,7 @@
     found = made(slots=1)
     fill(found, 1)
     decision = found.arrive(ticket(deadline=0.01), 0.0)
-    assert isinstance(decision, gate.Refuse)
+    assert isinstance(decision, admission.Refuse)
     assert decision.reason is Reason.BUSY
     assert decision.retry_after > 0
 
@@ -129,7 +131,7 @@
     break_off(found, 0.0)
     later = health.SCOUT_GAP
     scout = ticket(repeatable=True)
-    assert isinstance(found.arrive(scout, later), gate.Start)
+    assert isinstance(found.arrive(scout, later), admission.Start)
     second = found.arrive(ticket(repeatable=True), later)
     assert second.reason is Reason.DOUBTED
 
@@ -139,18 +141,20 @@
     found = made()
     break_off(found, 0.0)
     assert found.arrive(ticket(), 0.1).reason is Reason.DOUBTED
-    one = ticket(insist=gate.Insist.ANY, repeatable=True)
-    assert isinstance(found.arrive(one, 0.1), gate.Start)
-    once = ticket(insist=gate.Insist.ANY)
+    one = ticket(insist=admission.Insist.ANY, repeatable=True)
+    assert isinstance(found.arrive(one, 0.1), admission.Start)
+    once = ticket(insist=admission.Insist.ANY)
     assert found.arrive(once, 0.1).reason is Reason.DOUBTED
 
 
 def test_work_that_must_not_repeat_asks_for_a_proof():
     found = made(proven=False)
     assert found.arrive(ticket(), 5.0).reason is Reason.UNPROVEN
-    sound = ticket(insist=gate.Insist.SOUND)
-    assert isinstance(found.arrive(sound, 5.0), gate.Start)
-    assert isinstance(found.arrive(ticket(repeatable=True), 5.0), gate.Start)
+    sound = ticket(insist=admission.Insist.SOUND)
+    assert isinstance(found.arrive(sound, 5.0), admission.Start)
+    assert isinstance(
+        found.arrive(ticket(repeatable=True), 5.0), admission.Start
+    )
 
 
 def test_a_request_that_ends_well_proves_the_target():
@@ -159,7 +163,7 @@
         one = ticket(repeatable=True)
         found.arrive(one, 5.0)
         found.finish(one, Sign.WELL, 5.1)
-    assert isinstance(found.arrive(ticket(), 5.1), gate.Start)
+    assert isinstance(found.arrive(ticket(), 5.1), admission.Start)
 
 
 def test_requests_that_hang_raise_doubt_before_they_end():
@@ -192,8 +196,10 @@
     found = made(slots=1)
     takes(found, 0.1)
     found.arrive(ticket(deadline=5.0), 0.0)
-    assert isinstance(found.arrive(ticket(start_by=2.0), 0.05), gate.Wait)
-    insisting = ticket(insist=gate.Insist.ANY, start_by=2.0, repeatable=True)
+    assert isinstance(found.arrive(ticket(start_by=2.0), 0.05), admission.Wait)
+    insisting = ticket(
+        insist=admission.Insist.ANY, start_by=2.0, repeatable=True
+    )
     decision = found.arrive(insisting, 2.0 - 0.5)
     assert decision.reason is Reason.BUSY
     assert decision.retry_after > 2.0
@@ -231,7 +237,7 @@
 def test_late_waiting_ones_are_refused_when_time_passes():
     found = made(slots=1)
     fill(found, 1)
-    waiting = ticket(deadline=1.0, insist=gate.Insist.ANY, repeatable=True)
+    waiting = ticket(deadline=1.0, insist=admission.Insist.ANY, repeatable=True)
     found.arrive(waiting, 0.0)
     refused = found.tick(1.0)
     assert [d.reason for d in refused] == [Reason.DEADLINE]
@@ -242,10 +248,10 @@
     found = made(slots=1)
     fill(found, 1)
     waiting = ticket(priority=2, start_by=0.3)
-    assert isinstance(found.arrive(waiting, 0.0), gate.Wait)
+    assert isinstance(found.arrive(waiting, 0.0), admission.Wait)
     found.arrive(ticket(priority=0), 0.1)
     decisions = found.tick(0.3)
-    refused = [d for d in decisions if isinstance(d, gate.Refuse)]
+    refused = [d for d in decisions if isinstance(d, admission.Refuse)]
     assert [d.ticket for d in refused] == [waiting]
     assert refused[0].retry_after > 0
 
@@ -259,7 +265,7 @@
 
 def test_load_tells_doubt_risk_and_how_long_the_route_takes():
     found = made()
-    assert found.load(2.0).idle == gate.NEVER
+    assert found.load(2.0).idle == admission.NEVER
     assert found.load(2.0).risk < health.RAISED_FROM
     takes(found, 0.1)
     assert found.load(2.0, "").latency == pytest.approx(0.1, rel=0.1)
@@ -277,14 +283,14 @@
     fill(found, 1)
     decision = found.arrive(ticket(wait=False), 0.0)
     assert decision.reason is Reason.BUSY
-    assert isinstance(found.arrive(ticket(wait=True), 0.0), gate.Wait)
+    assert isinstance(found.arrive(ticket(wait=True), 0.0), admission.Wait)
 
 
 def test_a_short_wait_is_accepted_by_all():
     found = made(slots=1)
-    takes(found, gate.SHORT_WAIT / 2)
+    takes(found, admission.SHORT_WAIT / 2)
     fill(found, 1)
-    assert isinstance(found.arrive(ticket(wait=False), 0.0), gate.Wait)
+    assert isinstance(found.arrive(ticket(wait=False), 0.0), admission.Wait)
 
 
 def test_those_go_first_that_can_still_be_in_time():
@@ -305,19 +311,19 @@
     started = found.finish(running, Sign.SHED, 0.1)
     assert [d.ticket for d in started] == [waiting]
     assert found.load(0.1).state is messages.TargetState.SHEDDING
-    assert isinstance(found.arrive(ticket(), 0.2), gate.Wait)
+    assert isinstance(found.arrive(ticket(), 0.2), admission.Wait)
 
 
 def test_a_cold_target_comes_after_warm_ones():
     found = made()
     found.cold_until = 5.0
     assert found.arrive(ticket(), 0.5).reason is Reason.UNPROVEN
-    sound = ticket(insist=gate.Insist.SOUND)
-    assert isinstance(found.arrive(sound, 0.5), gate.Start)
-    one = ticket(insist=gate.Insist.ANY)
+    sound = ticket(insist=admission.Insist.SOUND)
+    assert isinstance(found.arrive(sound, 0.5), admission.Start)
+    one = ticket(insist=admission.Insist.ANY)
     found.arrive(one, 5.0)
     found.finish(one, Sign.WELL, 5.0)
-    assert isinstance(found.arrive(ticket(), 5.1), gate.Start)
+    assert isinstance(found.arrive(ticket(), 5.1), admission.Start)
 
 
 def test_a_suspect_runs_alone():
@@ -325,13 +331,13 @@
     one = made(3)
     beside, behind = ticket(), ticket(wait=True)
     suspect = ticket(alone=True, wait=True)
-    assert isinstance(one.arrive(beside, 0.0), gate.Start)
-    assert isinstance(one.arrive(suspect, 0.0), gate.Wait)
+    assert isinstance(one.arrive(beside, 0.0), admission.Start)
+    assert isinstance(one.arrive(suspect, 0.0), admission.Wait)
     # Slots are free, but to fill them would keep the suspect out for ever.
-    assert isinstance(one.arrive(behind, 0.0), gate.Wait)
-    assert one.finish(beside, Sign.WELL, 0.1) == [gate.Start(suspect)]
+    assert isinstance(one.arrive(behind, 0.0), admission.Wait)
+    assert one.finish(beside, Sign.WELL, 0.1) == [admission.Start(suspect)]
     assert one.running == 1
-    assert one.finish(suspect, Sign.WELL, 0.2) == [gate.Start(behind)]
+    assert one.finish(suspect, Sign.WELL, 0.2) == [admission.Start(behind)]
 
 
 def test_a_suspect_goes_elsewhere_where_others_run_for_long():
@@ -339,5 +345,5 @@
     takes(one, 0.9)
     one.arrive(ticket(), 0.0)
     found = one.arrive(ticket(alone=True, wait=False), 0.0)
-    assert isinstance(found, gate.Refuse)
-    assert isinstance(one.arrive(ticket(), 0.0), gate.Start)
+    assert isinstance(found, admission.Refuse)
+    assert isinstance(one.arrive(ticket(), 0.0), admission.Start)
--- a/test/test_chooser.py
+++ b/test/test_chooser.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
+from forklift import admission
 from forklift import chooser
-from forklift import gate
 from forklift import health
 from forklift import messages
 from forklift import policy
@@ -73,9 +73,9 @@
     found.report("b", load(State.SUSPECT), 10.0)
     assert picks(found, wish()) == set()
     # Not even where there is no other: most of its requests fail.
-    insisting = wish(insist=gate.Insist.ANY)
+    insisting = wish(insist=admission.Insist.ANY)
     assert picks(found, insisting) == set()
-    repeatable = wish(insist=gate.Insist.ANY, repeatable=True)
+    repeatable = wish(insist=admission.Insist.ANY, repeatable=True)
     assert picks(found, repeatable) == {"a", "b"}
     found.report("a", load(State.SUSPECT, risk=0.4), 10.0)
     assert picks(found, insisting) == set()
@@ -97,17 +97,17 @@
 def test_a_doubted_target_draws_nothing_while_sound_ones_are_busy():
     found = made("a", "b")
     found.report("a", load(State.SUSPECT), 10.0)
-    asked = wish(insist=gate.Insist.ANY, wait=True)
+    asked = wish(insist=admission.Insist.ANY, wait=True)
     busy = frozenset({"b"})
     assert found.choose(asked, frozenset(), 10.0, busy) is None
-    last = wish(insist=gate.Insist.ANY, wait=True, repeatable=True)
+    last = wish(insist=admission.Insist.ANY, wait=True, repeatable=True)
     assert found.choose(last, busy, 10.0).target == "a"
 
 
 def test_a_doubted_target_that_mostly_does_well_is_better_than_waiting():
     found = made("a", "b")
     found.report("a", load(State.SUSPECT, risk=0.4), 10.0)
-    asked = wish(insist=gate.Insist.ANY, wait=True, repeatable=True)
+    asked = wish(insist=admission.Insist.ANY, wait=True, repeatable=True)
     busy = frozenset({"b"})
     asked = dataclasses.replace(asked, scout=False)
     assert found.choose(asked, frozenset(), 10.0, busy).target == "a"
@@ -144,7 +144,7 @@
             choice = found.choose(asked, frozenset(), now)
             found.ended("s", choice, None, now)
             if choice.target == "c":
-                proven = choice.insist is gate.Insist.PROVEN
+                proven = choice.insist is admission.Insist.PROVEN
                 assert asked.repeatable or not proven
                 longest = max(longest, now - used_at)
                 used_at = now
@@ -248,10 +248,10 @@
 def test_a_target_that_never_had_work_gets_the_first_request_beside_it():
     """At a start nothing is known of the others either."""
     found = made("a", "b", process="p-b")
-    found.report("b", load(idle=gate.NEVER, risk=health.UNKNOWN), 10.0)
+    found.report("b", load(idle=admission.NEVER, risk=health.UNKNOWN), 10.0)
     found.report("a", load(), 10.0)
     choice = found.choose(wish(), frozenset(), 10.0)
-    assert (choice.target, choice.insist) == ("b", gate.Insist.SOUND)
+    assert (choice.target, choice.insist) == ("b", admission.Insist.SOUND)
 
 
 def test_a_repeat_also_charges_the_services_that_its_run_may_call():
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -330,7 +330,7 @@
         one = fleet.proxies[0]
         back = []
         one.limiting.give_back = back.append
-        one.beside.site_by_target["t0"].gate.drain()
+        one.beside.site_by_target["t0"].controller.drain()
         answer = await let_in(fleet, ("x-request-timeout-ms", "200"))
         assert answer.status == 503
         assert back == ["fund"]
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -122,7 +122,7 @@
             return await run(target, ticket, *rest)
 
         serving.run = note
-        fleet.proxies[0].beside.site_by_target["t0"].gate.drain()
+        fleet.proxies[0].beside.site_by_target["t0"].controller.drain()
         assert (await fleet.ask(0)).status == 200
         assert seen[0].start_by < seen[0].deadline
 
@@ -132,7 +132,7 @@
 def test_an_idle_target_is_used_before_waiting_at_a_busy_one():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
-            one.beside.site_by_target[f"t{number}"].gate.slots = 1
+            one.beside.site_by_target[f"t{number}"].controller.slots = 1
         for target in fleet.targets:
             target.script.append("hold")
         asked = [asyncio.create_task(fleet.ask(0)) for _ in range(2)]
@@ -152,7 +152,7 @@
 def test_what_no_gate_takes_in_time_is_given_up_at_once():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
-            found = one.beside.site_by_target[f"t{number}"].gate
+            found = one.beside.site_by_target[f"t{number}"].controller
             found.slots = 1
             # One run takes longer than any request has.
             helper.takes(found.latencies.of("r", 1.0), 100.0)
@@ -740,7 +740,7 @@
         )
         one.announced.seen(said)
         site = one.beside.site_by_target["t0"]
-        assert site.gate.state is State.LEFT
+        assert site.controller.state is State.LEFT
         assert (await fleet.ask()).status == 200
         received = fleet.targets[0].received[0]
         assert received.field(dialect.OWN.expected) == b"t9"
@@ -843,7 +843,7 @@
             )
             await one.start()
             await helper.until(lambda: one.beside.site_by_target)
-            assert one.beside.site_by_target["t0"].gate.slots == 3
+            assert one.beside.site_by_target["t0"].controller.slots == 3
             assert target.received == []
             await one.close()
         listening.abort()
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from forklift import exposure
+from forklift import crash_candidates
 from forklift import fingerprint
 from forklift import messages
 from forklift import quarantine as quarantines
@@ -153,7 +153,7 @@
 
 
 def test_what_a_target_still_runs_for_nobody_may_have_crashed_it():
-    given = exposure.Exposure()
+    given = crash_candidates.CrashCandidates()
     given.begin(1, DEADLY, 0.0)
     given.begin(2, INNOCENT, 0.0)
     given.begin(3, OTHER, 0.0)
@@ -164,7 +164,7 @@
 
 
 def test_what_ended_long_before_a_crash_is_not_accused():
-    given = exposure.Exposure()
+    given = crash_candidates.CrashCandidates()
     given.begin(1, INNOCENT, 0.0)
     given.ended(1, 0.1)
     for number in range(1000):
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -7,10 +7,10 @@
 import pytest
 from click import testing
 
+from forklift import admission
 from forklift import announcement
 from forklift import dialect
 from forklift import fingerprint
-from forklift import gate
 from forklift.shell import clock
 from forklift.shell import http
 from forklift.shell import keeping
@@ -136,7 +136,7 @@
     processes.play(work, [[], []])
 
 
-def note(beside, seen: list[gate.Ticket]) -> None:
+def note(beside, seen: list[admission.Ticket]) -> None:
     """Takes note of what reaches the targets beside one process."""
     run = beside.run
 
@@ -323,12 +323,12 @@
     async def work(fleet):
         one = fleet.proxies[0]
         site = one.beside.site_by_target["t0"]
-        site.gate.slots = 1
+        site.controller.slots = 1
         fleet.targets[0].script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
         waits = asyncio.create_task(fleet.ask(0, "/a/deadly"))
-        await helper.until(lambda: site.gate.waiting == 1)
+        await helper.until(lambda: site.controller.waiting == 1)
         hold(one)
         fleet.targets[0].release.set()
         assert (await runs).status == 200
@@ -391,7 +391,7 @@
     async def work(fleet):
         entry, other = fleet.proxies
         entry.announced.left(announcement.Life("t0"))
-        other.beside.site_by_target["t1"].gate.slots = 1
+        other.beside.site_by_target["t1"].controller.slots = 1
         fleet.targets[1].script.append("hold")
         runs = asyncio.create_task(fleet.ask(1))
         await helper.until(lambda: fleet.runs() == 1)
@@ -414,7 +414,7 @@
         entry, other = fleet.proxies
         entry.announced.left(announcement.Life("t0"))
         suspect(other)
-        gate_of = other.beside.site_by_target["t1"].gate
+        gate_of = other.beside.site_by_target["t1"].controller
         arrive, seen = gate_of.arrive, []
 
         def noted(ticket, now):
--- a/test/test_budget.py
+++ b/test/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 import random
 
-from forklift import budget
+from forklift import retry_budget
 
 WINDOW = 10.0
 
@@ -10,7 +10,10 @@
 def test_the_sum_over_processes_keeps_the_bound():
     rng = random.Random(1)
     ratio, reserve, processes = 0.2, 50.0, 7
-    parts = [budget.Budget(ratio, WINDOW, reserve) for _ in range(processes)]
+    parts = [
+        retry_budget.RetryBudget(ratio, WINDOW, reserve)
+        for _ in range(processes)
+    ]
     requests: list[float] = []
     repeats: list[float] = []
     now = 0.0
@@ -29,7 +32,7 @@
 
 
 def test_a_process_that_is_cut_off_keeps_its_part():
-    part = budget.Budget(0.0, WINDOW, 20.0)
+    part = retry_budget.RetryBudget(0.0, WINDOW, 20.0)
     part.spend(0.0, 10)
     granted = sum(part.spend(1.0, 1) for _ in range(30))
     assert granted <= 2
@@ -37,7 +40,7 @@
 
 def test_processes_that_started_again_and_know_nobody_spend_no_reserve():
     """All start at once; the sum keeps the bound before they have met."""
-    parts = [budget.Budget(0.0, WINDOW, 20.0) for _ in range(10)]
+    parts = [retry_budget.RetryBudget(0.0, WINDOW, 20.0) for _ in range(10)]
     granted = sum(part.spend(0.0, 0) for part in parts for _ in range(30))
     assert granted == 0
     granted = sum(part.spend(1.0, 10) for part in parts for _ in range(30))
@@ -45,22 +48,22 @@
 
 
 def test_old_repeats_are_forgotten():
-    part = budget.Budget(0.0, WINDOW, 2.0)
+    part = retry_budget.RetryBudget(0.0, WINDOW, 2.0)
     assert part.spend(0.0, 1)
     assert not part.spend(WINDOW / 2, 1)
     assert part.spend(WINDOW + 0.1, 1)
 
 
 def test_other_bounds_hold_for_what_was_counted():
-    part = budget.Budget(0.0, WINDOW, 2.0)
+    part = retry_budget.RetryBudget(0.0, WINDOW, 2.0)
     assert part.spend(0.0, 1)
     part.bound(0.0, WINDOW, 4.0)
     granted = sum(part.spend(1.0, 1) for _ in range(10))
-    assert granted == int(4.0 * budget.USED_SHARE) - 1
+    assert granted == int(4.0 * retry_budget.USED_SHARE) - 1
 
 
 def test_a_kind_of_repeat_may_be_held_to_a_part_of_the_budget():
-    found = budget.Budget(1.0, 10.0, 0.0)
+    found = retry_budget.RetryBudget(1.0, 10.0, 0.0)
     for _ in range(20):
         found.request(0.0)
     part = sum(found.spend(1.0, 1, share=0.5) for _ in range(20))
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -67,13 +67,15 @@
         before = one.beside.site_by_target[OLD.name]
         now = one.clock.monotonic()
         for number in range(4):
-            before.gate.health.begin(
-                number, before.gate.latencies.of("r", 1.0), now
+            before.controller.health.begin(
+                number, before.controller.latencies.of("r", 1.0), now
             )
-            before.gate.health.end(number, announced.gate.Sign.BROKEN, now)
-        assert before.gate.health.raised
+            before.controller.health.end(
+                number, announced.admission.Sign.BROKEN, now
+            )
+        assert before.controller.health.raised
         announce(fleet, NEW, cold=30.0)
-        after = one.beside.site_by_target[NEW.name].gate
+        after = one.beside.site_by_target[NEW.name].controller
         assert not after.health.raised
         assert (after.running, after.waiting) == (0, 0)
         assert after.cold_until > one.clock.monotonic()
@@ -109,13 +111,13 @@
         one = fleet.proxies[0]
         announce(fleet, OLD)
         await known_as(fleet, OLD.name)
-        one.beside.site_by_target[OLD.name].gate.slots = 1
+        one.beside.site_by_target[OLD.name].controller.slots = 1
         fleet.targets[0].script.append("hold")
         held = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
         waits = asyncio.create_task(fleet.ask())
-        gate = one.beside.site_by_target[OLD.name].gate
-        await helper.until(lambda: gate.waiting == 1)
+        controller = one.beside.site_by_target[OLD.name].controller
+        await helper.until(lambda: controller.waiting == 1)
         announce(fleet, NEW)
         assert (await held).status == 502
         assert (await waits).status == 200
@@ -134,7 +136,7 @@
         one.announced.left(OLD)
         one.announced.recalled(OLD.name)
         assert one.beside.site_by_target == {NEW.name: site}
-        assert site.gate.state is State.IN_SERVICE
+        assert site.controller.state is State.IN_SERVICE
         assert (await fleet.ask()).status == 200
 
     processes.play(work, [[]])
@@ -162,7 +164,7 @@
         announce(fleet, NEW, sequence=40)
         assert one.beside.site_by_target == {NEW.name: site}
         # What runs goes on: it is the same life.
-        assert site.gate.running == 1
+        assert site.controller.running == 1
         fleet.targets[0].release.set()
         assert (await asked).status == 200
         # A request that was sent before its sender heard of the name.
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -52,7 +52,7 @@
 
     async def work(fleet):
         one = fleet.proxies[0]
-        one.beside.site_by_target["t0"].gate.slots = 1
+        one.beside.site_by_target["t0"].controller.slots = 1
         fleet.targets[0].script.append("hold")
         held = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
@@ -77,7 +77,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         give_grace(one, 5.0)
-        one.beside.site_by_target["t0"].gate.slots = 1
+        one.beside.site_by_target["t0"].controller.slots = 1
         fleet.targets[0].script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
@@ -120,7 +120,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         give_grace(one, 5.0)
-        one.beside.site_by_target["t0"].gate.slots = 1
+        one.beside.site_by_target["t0"].controller.slots = 1
         fleet.targets[0].script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
@@ -410,7 +410,7 @@
         link._frames.transport.pause_reading()
         (served,) = one.served
         news = messages.Standing(
-            "t" * 10_000, one.beside.site_by_target["t1"].gate.load(0.0)
+            "t" * 10_000, one.beside.site_by_target["t1"].controller.load(0.0)
         )
         told = 0
         while not unsent.fget(served):
@@ -480,7 +480,7 @@
         link.on_standing = taken.append
         (served,) = one.served
         news = messages.Standing(
-            "t" * 10_000, one.beside.site_by_target["t1"].gate.load(0.0)
+            "t" * 10_000, one.beside.site_by_target["t1"].controller.load(0.0)
         )
         # The peer is slow to take; the system has room for all of it.
         transport = link._frames.transport
--- a/test/test_stories.py
+++ b/test/test_stories.py
@@ -68,7 +68,7 @@
 def test_a_request_was_refused_while_all_targets_were_full():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
-            found = one.beside.site_by_target[f"t{number}"].gate
+            found = one.beside.site_by_target[f"t{number}"].controller
             found.slots = 1
             helper.takes(found.latencies.of("r", 1.0), 100.0)
         for target in fleet.targets:
--- a/test/test_walk.py
+++ b/test/test_walk.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from forklift import gate
+from forklift import admission
 from forklift import latency
 from forklift import messages
 from forklift import walk
@@ -23,7 +23,7 @@
     for number in range(walk.MAX_REFUSALS - 1):
         found.not_run(f"idle-{number}", Reason.UNPROVEN)
     assert found.refused == {"busy"}
-    assert found.insist(0.0) is gate.Insist.SOUND
+    assert found.insist(0.0) is admission.Insist.SOUND
     assert not found.wait
     for number in range(walk.MAX_REFUSALS):
         found.not_run(f"idle-{number}", Reason.BUSY)
@@ -33,8 +33,8 @@
 
 def test_doubt_is_accepted_late():
     found = made()
-    assert found.insist(0.0) is gate.Insist.PROVEN
-    assert found.insist(10.0 * walk.INSIST_SHARE) is gate.Insist.ANY
+    assert found.insist(0.0) is admission.Insist.PROVEN
+    assert found.insist(10.0 * walk.INSIST_SHARE) is admission.Insist.ANY
 
 
 def test_it_is_given_up_once_enough_gates_say_that_waiting_takes_too_long():
