--- a/forklift/allowance.py
+++ b/forklift/allowance.py
@@ -13,9 +13,9 @@
 
 from forklift import allocator
 from forklift import limit_messages as messages
-from forklift import overlay
 from forklift import rate_limits
 from forklift import rates
+from forklift import rendezvous
 
 # Shards of the organisations: so many that one allocator that ends takes few
 # with it, so few that votes for all of them cost little.
@@ -128,7 +128,7 @@
 
 def shard_of(organisation: str) -> int:
     """The shard of an organisation, the same on every process."""
-    return overlay.score("shard", organisation) % SHARDS
+    return rendezvous.score("shard", organisation) % SHARDS
 
 
 class Allowance:
--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -21,8 +21,8 @@
 from forklift import gossip
 from forklift import membership
 from forklift import messages
-from forklift import overlay
 from forklift import readers
+from forklift import rendezvous
 
 # Places on the ring between a process and its watchers. Each further one halves
 # the share of processes none of whose watchers has a version.
@@ -361,7 +361,7 @@
             for name, member in self._directory.member_by_name.items()
             if member.usable and self._directory.shares(member.info)
         ]
-        return overlay.rank(_RING, [self._directory.own.name, *names])
+        return rendezvous.rank(_RING, [self._directory.own.name, *names])
 
     def _address(self, name: str) -> str:
         return self._directory.member_by_name[name].info.control
--- a/forklift/expressions.py
+++ b/forklift/expressions.py
@@ -22,7 +22,7 @@
     """An expression can't be compiled, or gives the wrong kind of value."""
 
 
-class Program(Protocol):
+class Evaluator(Protocol):
     """Anything that a policy evaluates."""
 
     text: str
--- a/forklift/gossip.py
+++ b/forklift/gossip.py
@@ -14,7 +14,7 @@
 
 from forklift import membership
 from forklift import messages
-from forklift import overlay
+from forklift import rendezvous
 
 # What tells the digest of this process's quarantine.
 Digest = Callable[[], int]
@@ -96,7 +96,7 @@
             self._peers = names
             if len(names) > PEERS:
                 own = self.directory.own.name
-                self._peers = overlay.pick(own, names, PEERS)
+                self._peers = rendezvous.select(own, names, PEERS)
             self._peers_of = self.directory.generation
         return self._peers
 
--- a/forklift/limiter.py
+++ b/forklift/limiter.py
@@ -13,8 +13,8 @@
 from forklift import limit_messages
 from forklift import membership
 from forklift import messages
-from forklift import overlay
 from forklift import rate_limits
+from forklift import rendezvous
 
 # Seconds without an answer after which an allocator is taken for gone, here:
 # two votes in a row are lost now and then, and others notice an end much later.
@@ -194,7 +194,7 @@
         """Name of the process that allocates a shard, by what is known here."""
         names = self._names or [self._directory.own.name]
         salt = f"limits-{shard}"
-        return max(names, key=lambda name: (overlay.score(salt, name), name))
+        return max(names, key=lambda name: (rendezvous.score(salt, name), name))
 
     def _keep(self, shard: int, name: str, now: float) -> list[Send]:
         """Begins or ends to allocate a shard, as the fleet changes."""
--- a/forklift/chooser.py
+++ b/forklift/load_balancer.py
@@ -13,60 +13,60 @@
 from collections.abc import Callable
 
 from forklift import admission
+from forklift import balancing_algorithms
 from forklift import health
 from forklift import latency
 from forklift import messages
-from forklift import overlay
 from forklift import paths
 from forklift import policy
 from forklift import rates
+from forklift import rendezvous
 from forklift import response_sizes
 from forklift import retry_budget
-from forklift import spread
 from forklift import target_view
 
 State = messages.TargetState
-View = target_view.View
+TargetView = target_view.TargetView
 
 # Targets of one service that this entry sends to at most.
-SUBSET = 64
+SUBSET_SIZE = 64
 # Share of repeatable requests that test a doubted target when one is due.
-SCOUT_SHARE = 0.4
+PROBE_SHARE = 0.4
 # Seconds over which the floor on capacity is counted: while many requests fail,
 # a target that serves must see work within them.
-FLOOR_WINDOW = 2.0
+CAPACITY_FLOOR_WINDOW = 2.0
 # Share of failed requests from which on many fail: where a tenth do, the floor
 # counts.
-FAILING_SHARE = 0.08
+HIGH_FAILURE_SHARE = 0.08
 # Seconds without work after which the target beside this entry gets the next
 # request that may repeat; while many fail here, the next of any kind, once what
 # is left of the window is so many times the mean pause between requests: four
 # of five then come in time. An entry of a large fleet sees one a second.
-IDLE_BESIDE = 0.7
-IDLE_LEAST = 0.3
-PAUSES_LEFT = 1.6
+LOCAL_IDLE_LIMIT = 0.7
+MIN_LOCAL_IDLE_LIMIT = 0.3
+EXPECTED_REQUESTS_LEFT = 1.6
 # As a gate tells that it never had work, less the time since it said so.
 NEVER_USED = admission.NEVER - 10.0
 # Seconds between two scouts of this entry to one target.
-SCOUT_GAP = 0.25
+PROBE_INTERVAL = 0.25
 # Risk up to which a doubted target is better than to wait on.
-PROMISING = 0.5
+MAX_ACCEPTABLE_RISK = 0.5
 # Part of a slot that must seem free: reports of load fade, so a target that was
 # full a moment ago is not asked again at once.
-MARGIN = 0.3
+FREE_SLOT_MARGIN = 0.3
 # What a bad phase costs a request that may repeat, as a part of its worth: the
 # time until it is repeated, and the repeat, of which there are few. Other work
 # is lost as often as it fails.
-LOSS_OF_REPEATABLE = 0.5
+IDEMPOTENT_LOSS = 0.5
 # Heads of a request and of its answer on the way between processes, kilobytes.
-HEADS = 0.4
+HEADER_KILOBYTES = 0.4
 # Weight of the last answer's word on how long its route takes: each guard
 # learns from all that its target runs, and an entry hears several.
 LATENCY_GAIN = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
-class Wish:
+class Requirements:
     """What a request needs of a target.
 
     Attributes:
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Choice:
+class Selection:
     """A picked target.
 
     Attributes:
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class BudgetBounds:
+class RetryBudgetLimits:
     """Bounds on repeats that all processes keep together.
 
     Attributes:
@@ -122,8 +122,8 @@
 class _Group:
     """One service as the entry sees it."""
 
-    def __init__(self, bounds: BudgetBounds):
-        self.view_by_target: dict[str, View] = {}
+    def __init__(self, bounds: RetryBudgetLimits):
+        self.view_by_target: dict[str, TargetView] = {}
         self.failing = rates.Failing()
         self.subset: list[str] | None = None
         self.budget = retry_budget.RetryBudget(
@@ -131,7 +131,7 @@
         )
 
 
-class Chooser:
+class LoadBalancer:
     """Picks targets for the requests of one process."""
 
     def __init__(
@@ -139,11 +139,11 @@
         name: str,
         domain: str,
         rng: random.Random,
-        program: Callable[[str], policy.Service],
-        bounds: BudgetBounds,
+        program: Callable[[str], policy.ServicePolicy],
+        bounds: RetryBudgetLimits,
         far_cost: float = 0.04,
     ):
-        self.paths = paths.Paths()
+        self.reachability = paths.Reachability()
         self.latencies = latency.Latencies()
         self.response_sizes = response_sizes.ResponseSizes()
         # The shortest latency objective of each service's routes, seconds.
@@ -158,10 +158,10 @@
         self._group_by_service: dict[str, _Group] = {}
         self._targets_by_process: dict[str, dict[str, str]] = {}
         # Processes known, this one too; 0 before any were met.
-        self.processes = 0
+        self.process_count = 0
         self.picks = 0
 
-    def bound(self, bounds: BudgetBounds) -> None:
+    def set_retry_limits(self, bounds: RetryBudgetLimits) -> None:
         """Takes other bounds on repeats; what was counted stays."""
         self._bounds = bounds
         for group in self._group_by_service.values():
@@ -169,7 +169,7 @@
 
     # What is known.
 
-    def learn(self, info: messages.ProcessInfo) -> None:
+    def update_process(self, info: messages.ProcessInfo) -> None:
         """Takes in what is known of one process and its targets."""
         before = self._targets_by_process.get(info.name, {})
         after = {
@@ -185,13 +185,13 @@
             if target.name in after:
                 self._learn_target(target, info)
 
-    def forget(self, process: str) -> None:
+    def remove_process(self, process: str) -> None:
         """A process is dead, or has left."""
         for name, service in self._targets_by_process.pop(process, {}).items():
             self._remove(service, name, process)
-        self.paths.forget(process)
+        self.reachability.remove(process)
 
-    def knows(self, service: str) -> bool:
+    def has_targets(self, service: str) -> bool:
         """Whether a target of a service is known."""
         group = self._group_by_service.get(service)
         return group is not None and bool(group.view_by_target)
@@ -201,7 +201,7 @@
         groups = self._group_by_service.items()
         return sorted(name for name, g in groups if g.view_by_target)
 
-    def views(self, service: str) -> list[View]:
+    def views(self, service: str) -> list[TargetView]:
         """The targets of a service that are known here."""
         group = self._group_by_service.get(service)
         return list(group.view_by_target.values()) if group else []
@@ -213,22 +213,24 @@
         """
         counts: collections.Counter[str] = collections.Counter()
         for view in self.views(service):
-            full = view.load(now) > view.slots - MARGIN
+            full = view.load(now) > view.slots - FREE_SLOT_MARGIN
             state = "full" if full else str(view.state(now))
-            reached = self.paths.usable(view.process)
+            reached = self.reachability.is_reachable(view.process)
             counts[state if reached else "not reached"] += 1
         return dict(counts)
 
-    def report(self, target: str, load: messages.Load, now: float) -> None:
+    def update_load(self, target: str, load: messages.Load, now: float) -> None:
         """A guard told of its target unasked."""
         for group in self._group_by_service.values():
             view = group.view_by_target.get(target)
             if view is not None:
-                view.report(load, now)
+                view.update_load(load, now)
 
-    def idle(self, target: str, load: messages.Load, now: float) -> None:
+    def record_work_request(
+        self, target: str, load: messages.Load, now: float
+    ) -> None:
         """A guard asks for work: its target is in service and has none."""
-        self.report(target, load, now)
+        self.update_load(target, load, now)
         for group in self._group_by_service.values():
             view = group.view_by_target.get(target)
             if view is not None:
@@ -236,17 +238,17 @@
 
     # Picks.
 
-    def choose(
+    def select(
         self,
-        wish: Wish,
+        requirements: Requirements,
         tried: frozenset[str],
         now: float,
         refused: frozenset[str] = frozenset(),
-    ) -> Choice | None:
+    ) -> Selection | None:
         """Picks a target; None when none will do.
 
         Args:
-            wish: What the request needs.
+            requirements: What the request needs.
             tried: Targets that it was sent to already.
             now: Monotonic seconds.
             refused: Targets that can't take it just now. While one of them is
@@ -256,7 +258,7 @@
                 goes to no doubted one: that it did not run can be told, and
                 it may come back.
         """
-        group = self._group_by_service.get(wish.service)
+        group = self._group_by_service.get(requirements.service)
         if group is None:
             return None
         known = self._split(group, tried, now)
@@ -265,34 +267,41 @@
             [view for view in views if view.name not in refused]
             for views in known
         )
-        view = self._idle(wish, sound, group, now)
+        view = self._idle(requirements, sound, group, now)
         insist = (
             admission.Insist.PROVEN if view is None else admission.Insist.SOUND
         )
-        if view is None and wish.repeatable and wish.scout:
+        if view is None and requirements.repeatable and requirements.scout:
             view = self._test(sound, doubted, now)
         if view is None:
             pool = sound or shedding
-            anyhow = wish.repeatable and wish.insist is admission.Insist.ANY
+            anyhow = (
+                requirements.repeatable
+                and requirements.insist is admission.Insist.ANY
+            )
             if not pool and anyhow:
-                promising = [v for v in doubted if v.risk(now) <= PROMISING]
+                promising = [
+                    v for v in doubted if v.risk(now) <= MAX_ACCEPTABLE_RISK
+                ]
                 pool = doubted if hopeless else promising
-            if not wish.wait:
-                pool = [v for v in pool if v.load(now) <= v.slots - MARGIN]
+            if not requirements.wait:
+                pool = [
+                    v for v in pool if v.load(now) <= v.slots - FREE_SLOT_MARGIN
+                ]
             if not pool:
                 return None
-            view = self._pick(wish, pool, now)
+            view = self._pick(requirements, pool, now)
         if view.state(now) is State.SUSPECT:
-            view.next_scout = now + SCOUT_GAP
+            view.next_probe_at = now + PROBE_INTERVAL
         view.in_flight += 1
-        view.picked += 1
+        view.pick_count += 1
         self.picks += 1
-        return Choice(view.name, view.process, insist)
+        return Selection(view.name, view.process, insist)
 
-    def ended(
+    def finish_attempt(
         self,
         service: str,
-        choice: Choice,
+        selection: Selection,
         load: messages.Load | None,
         now: float,
         usual: latency.Latency | None = None,
@@ -301,39 +310,39 @@
 
         Args:
             service: Name of the service.
-            choice: The target.
+            selection: The target.
             load: Its guard's report.
             now: Monotonic seconds.
             usual: The latency of the route, to learn from the report.
         """
         group = self._group_by_service.get(service)
-        view = group.view_by_target.get(choice.target) if group else None
+        view = group.view_by_target.get(selection.target) if group else None
         if view is None:
             return
         view.in_flight = max(0, view.in_flight - 1)
         if load is not None:
-            view.report(load, now)
+            view.update_load(load, now)
             group.failing.told(load.failing / 100, now)
             if usual is not None and load.latency > 0:
                 usual.follow(load.latency, load.spread, LATENCY_GAIN)
 
-    def failed(self, service: str, now: float) -> None:
+    def record_failure(self, service: str, now: float) -> None:
         """A request of a service failed at its target."""
         self._group(service).failing.failures.note(now)
 
-    def failing(self, service: str, now: float) -> int:
+    def failure_percent(self, service: str, now: float) -> int:
         """Requests of a service that fail here, of a hundred."""
         return round(100 * self._group(service).failing.own(now))
 
     # Repeats.
 
-    def request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """A request was taken from a caller: it earns a part of a repeat."""
         group = self._group(service)
         group.failing.requests.note(now)
         group.budget.request(now)
 
-    def spend(
+    def spend_retry(
         self,
         service: str,
         now: float,
@@ -353,7 +362,7 @@
             aim: Latency objective of the route, seconds.
         """
         spent = self._group(service).budget
-        if not spent.spend(now, self.processes, share):
+        if not spent.spend(now, self.process_count, share):
             return False
         for name, group in self._group_by_service.items():
             callable_ = self.least_aim_by_service.get(name, 0.0) < aim
@@ -361,7 +370,7 @@
                 group.budget.charge(now, self._bounds.calls)
         return True
 
-    def repeats_refused(self, service: str) -> int:
+    def retries_refused(self, service: str) -> int:
         """Repeats of a service that the budget refused here."""
         return self._group(service).budget.refused
 
@@ -373,17 +382,21 @@
 
     def _split(
         self, group: _Group, tried: frozenset[str], now: float
-    ) -> tuple[list[View], list[View], list[View]]:
+    ) -> tuple[
+        list[TargetView],
+        list[TargetView],
+        list[TargetView],
+    ]:
         """Targets that may be sent to: sound, shedding and doubted ones."""
-        sound: list[View] = []
-        shedding: list[View] = []
-        doubted: list[View] = []
+        sound: list[TargetView] = []
+        shedding: list[TargetView] = []
+        doubted: list[TargetView] = []
         for name in self._subset(group):
             view = group.view_by_target[name]
             state = view.state(now)
-            if name in tried or state in target_view.GONE:
+            if name in tried or state in target_view.OUT_OF_SERVICE:
                 continue
-            if not self.paths.usable(view.process):
+            if not self.reachability.is_reachable(view.process):
                 continue
             if state is State.SUSPECT:
                 doubted.append(view)
@@ -395,26 +408,26 @@
 
     def _idle(
         self,
-        wish: Wish,
-        sound: list[View],
+        requirements: Requirements,
+        sound: list[TargetView],
         group: _Group,
         now: float,
-    ) -> View | None:
+    ) -> TargetView | None:
         """A target that went without work for long.
 
         Every entry sees to its own, so that each sound target is in use
         whatever the order in which others fill them, and to any whose guard
         asks for work: its own entry may have no callers.
         """
-        if not wish.scout:
+        if not requirements.scout:
             return None
-        age = IDLE_BESIDE
-        if not wish.repeatable:
+        age = LOCAL_IDLE_LIMIT
+        if not requirements.repeatable:
             age = self._age_in_trouble(group, now)
         for view in sound:
-            if view.process == self._name and view.idle(now) > age:
+            if view.process == self._name and view.idle_seconds(now) > age:
                 return view if view.load(now) < view.slots else None
-        for view in sound if wish.repeatable else ():
+        for view in sound if requirements.repeatable else ():
             if view.wants_work and view.load(now) < view.slots:
                 view.wants_work = False
                 return view
@@ -426,64 +439,75 @@
         One that never had any is as good as all others at a start, when nothing
         is known of them either.
         """
-        if group.failing.share(now) < FAILING_SHARE:
+        if group.failing.share(now) < HIGH_FAILURE_SHARE:
             return NEVER_USED
-        left = PAUSES_LEFT * group.failing.requests.gap(now)
-        return max(IDLE_LEAST, FLOOR_WINDOW - left)
+        left = EXPECTED_REQUESTS_LEFT * group.failing.requests.gap(now)
+        return max(MIN_LOCAL_IDLE_LIMIT, CAPACITY_FLOOR_WINDOW - left)
 
     def _test(
         self,
-        sound: list[View],
-        doubted: list[View],
+        sound: list[TargetView],
+        doubted: list[TargetView],
         now: float,
-    ) -> View | None:
+    ) -> TargetView | None:
         """A doubted target that is due for a test by repeatable work."""
-        due = [view for view in doubted if now >= view.next_scout]
+        due = [view for view in doubted if now >= view.next_probe_at]
         if not due:
             return None
         # While no sound one has a slot free, a test costs nothing but itself.
         full = all(view.load(now) >= view.slots for view in sound)
-        if full or self._rng.random() < SCOUT_SHARE:
+        if full or self._rng.random() < PROBE_SHARE:
             return self._rng.choice(due)
         return None
 
-    def _pick(self, wish: Wish, pool: list[View], now: float) -> View:
+    def _pick(
+        self,
+        requirements: Requirements,
+        pool: list[TargetView],
+        now: float,
+    ) -> TargetView:
         if len(pool) == 1:
             return pool[0]
-        program = self._program(wish.service)
+        program = self._program(requirements.service)
         candidates = [
-            self._candidate(program, wish, view, now) for view in pool
+            self._candidate(program, requirements, view, now) for view in pool
         ]
-        picker = spread.picker_by_name[program.spread]
-        name = picker(candidates, self._rng).name
+        algorithm = balancing_algorithms.algorithm_by_name[program.spread]
+        name = algorithm(candidates, self._rng).name
         return next(view for view in pool if view.name == name)
 
     def _candidate(
         self,
-        program: policy.Service,
-        wish: Wish,
-        view: View,
+        program: policy.ServicePolicy,
+        requirements: Requirements,
+        view: TargetView,
         now: float,
-    ) -> spread.Candidate:
+    ) -> balancing_algorithms.Candidate:
         load = view.load(now)
         weight = 1.0
-        if program.weight is not policy.EVEN:
+        if program.weight is not policy.EQUAL_WEIGHT:
             weight = program.weight.evaluate(
                 load=load,
                 slots=view.slots,
-                same_domain=view.near,
+                same_domain=view.same_domain,
                 state=str(view.state(now)),
             )
-        loss = LOSS_OF_REPEATABLE if wish.repeatable else health.FAILS_WHEN_BAD
-        return spread.Candidate(
+        loss = (
+            IDEMPOTENT_LOSS
+            if requirements.repeatable
+            else health.FAILS_WHEN_BAD
+        )
+        return balancing_algorithms.Candidate(
             view.name,
             load,
             view.slots,
-            max(spread.LEAST_WEIGHT, weight),
-            view.near,
-            view.picked,
+            max(balancing_algorithms.MIN_WEIGHT, weight),
+            view.same_domain,
+            view.pick_count,
             loss * view.risk(now),
-            0.0 if view.near else self.far_cost * (HEADS + wish.kilobytes),
+            0.0
+            if view.same_domain
+            else self.far_cost * (HEADER_KILOBYTES + requirements.kilobytes),
         )
 
     def _learn_target(
@@ -493,12 +517,12 @@
         view = group.view_by_target.get(target.name)
         same = view is not None and view.process == info.name
         if same and view.boot == info.boot:
-            view.follow(target)
+            view.update_info(target)
             return
         # A process that started again begins anew, as its target may have been
         # paused only because the earlier run stopped.
         near = target.domain == self._domain
-        group.view_by_target[target.name] = View(target, info, near)
+        group.view_by_target[target.name] = TargetView(target, info, near)
         group.subset = None
 
     def _remove(self, service: str, name: str, process: str) -> None:
@@ -512,7 +536,7 @@
         """The targets that this entry sends to, chosen anew after changes."""
         if group.subset is None:
             names = sorted(group.view_by_target)
-            if len(names) > SUBSET:
-                names = overlay.pick(self._name, names, SUBSET)
+            if len(names) > SUBSET_SIZE:
+                names = rendezvous.select(self._name, names, SUBSET_SIZE)
             group.subset = names
         return group.subset
--- a/forklift/paths.py
+++ b/forklift/paths.py
@@ -7,103 +7,104 @@
 
 # Seconds without a sign that condemn a path. A peer that owes an answer gives
 # one each 0.2 s, so this is two that did not come, and a tick.
-SILENCE = 0.5
+REPLY_TIMEOUT = 0.5
 # First pause before an avoided path is asked for a sign, and the longest.
-AVOID_FIRST = 0.25
-AVOID_MOST = 1.0
+INITIAL_BACKOFF = 0.25
+MAX_BACKOFF = 1.0
 
 
-class Path:
+class _Peer:
     """The path to one process."""
 
     def __init__(self):
         self.failures = 0
-        self.avoided = False
-        self.next_beat = 0.0
-        self.owed_since: float | None = None
+        self.unreachable = False
+        self.next_heartbeat_at = 0.0
+        self.reply_expected_since: float | None = None
         self.cause = ""
 
 
-class Paths:
+class Reachability:
     """All paths of one process, by the name of the other."""
 
     def __init__(self):
-        self._path_by_process: dict[str, Path] = {}
+        self._peer_by_process: dict[str, _Peer] = {}
 
     @property
-    def doubtful(self) -> bool:
+    def needs_checks(self) -> bool:
         """Whether any path owes a sign, or is to be asked for one."""
         return any(
-            path.avoided or path.owed_since is not None
-            for path in self._path_by_process.values()
+            peer.unreachable or peer.reply_expected_since is not None
+            for peer in self._peer_by_process.values()
         )
 
-    def usable(self, process: str) -> bool:
+    def is_reachable(self, process: str) -> bool:
         """Whether requests may take the path."""
-        path = self._path_by_process.get(process)
-        return path is None or not path.avoided
+        peer = self._peer_by_process.get(process)
+        return peer is None or not peer.unreachable
 
-    def sent(self, process: str, now: float) -> None:
+    def expect_reply(self, process: str, now: float) -> None:
         """Something was sent that the other side owes a sign for."""
-        path = self._path_by_process.setdefault(process, Path())
-        if path.owed_since is None:
-            path.owed_since = now
+        peer = self._peer_by_process.setdefault(process, _Peer())
+        if peer.reply_expected_since is None:
+            peer.reply_expected_since = now
 
-    def heard(self, process: str) -> bool:
+    def record_reply(self, process: str) -> bool:
         """A sign arrived; True when the path had been avoided."""
-        path = self._path_by_process.get(process)
-        if path is None:
+        peer = self._peer_by_process.get(process)
+        if peer is None:
             return False
-        avoided = path.avoided
-        path.owed_since = None
-        path.failures = 0
-        path.avoided = False
-        return avoided
+        unreachable = peer.unreachable
+        peer.reply_expected_since = None
+        peer.failures = 0
+        peer.unreachable = False
+        return unreachable
 
-    def settled(self, process: str) -> None:
+    def cancel_expected_reply(self, process: str) -> None:
         """Nothing is owed any more, as no request is in flight."""
-        path = self._path_by_process.get(process)
-        if path is not None:
-            path.owed_since = None
+        peer = self._peer_by_process.get(process)
+        if peer is not None:
+            peer.reply_expected_since = None
 
-    def path_failed(self, process: str, cause: str, now: float) -> None:
+    def mark_unreachable(self, process: str, cause: str, now: float) -> None:
         """The path failed; it is avoided until the process is heard."""
-        path = self._path_by_process.setdefault(process, Path())
-        path.failures += 1
-        wait = AVOID_FIRST * 2 ** min(path.failures - 1, 8)
-        path.next_beat = now + min(AVOID_MOST, wait)
-        path.avoided = True
-        path.owed_since = None
-        path.cause = cause
-
-    def forget(self, process: str) -> None:
+        peer = self._peer_by_process.setdefault(process, _Peer())
+        peer.failures += 1
+        wait = INITIAL_BACKOFF * 2 ** min(peer.failures - 1, 8)
+        peer.next_heartbeat_at = now + min(MAX_BACKOFF, wait)
+        peer.unreachable = True
+        peer.reply_expected_since = None
+        peer.cause = cause
+
+    def remove(self, process: str) -> None:
         """The process is dead, or has left."""
-        self._path_by_process.pop(process, None)
+        self._peer_by_process.pop(process, None)
 
-    def to_beat(self, now: float) -> list[str]:
+    def take_due_heartbeats(self, now: float) -> list[str]:
         """Processes on avoided paths that are to be asked for a sign."""
         due = []
-        for process, path in self._path_by_process.items():
-            if path.avoided and now >= path.next_beat:
-                path.next_beat = now + AVOID_MOST / 2
+        for process, peer in self._peer_by_process.items():
+            if peer.unreachable and now >= peer.next_heartbeat_at:
+                peer.next_heartbeat_at = now + MAX_BACKOFF / 2
                 due.append(process)
         return due
 
-    def silent(self, now: float) -> list[str]:
+    def take_timed_out(self, now: float) -> list[str]:
         """Processes whose sign is overdue; their paths failed."""
-        silent = [
+        timed_out = [
             process
-            for process, path in self._path_by_process.items()
-            if path.owed_since is not None and now - path.owed_since >= SILENCE
+            for process, peer in self._peer_by_process.items()
+            if peer.reply_expected_since is not None
+            and now - peer.reply_expected_since >= REPLY_TIMEOUT
         ]
-        for process in silent:
-            self.path_failed(process, "silent", now)
-        return silent
+        for process in timed_out:
+            self.mark_unreachable(process, "silent", now)
+        return timed_out
 
-    def avoided(self) -> dict[str, str]:
+    def unreachable_causes(self) -> dict[str, str]:
         """Processes whose paths are avoided now, with the cause."""
         return {
-            process: path.cause
-            for process, path in self._path_by_process.items()
-            if path.avoided
+            process: peer.cause
+            for process, peer in self._peer_by_process.items()
+            if peer.unreachable
         }
--- a/forklift/policy.py
+++ b/forklift/policy.py
@@ -8,10 +8,10 @@
 import dataclasses
 import functools
 
+from forklift import balancing_algorithms
 from forklift import errors
 from forklift import expressions
 from forklift import ini
-from forklift import spread
 
 DEFAULT = "default"
 # Statuses of targets that another target may do better.
@@ -65,30 +65,30 @@
     "status in [500, 502, 503, 504]))",
     _retried,
 )
-EVEN = expressions.BuiltIn("1.0", lambda **_: 1.0)
+EQUAL_WEIGHT = expressions.BuiltIn("1.0", lambda **_: 1.0)
 
 
 @dataclasses.dataclass(frozen=True)
-class Service:
+class ServicePolicy:
     """Section [service NAME]."""
 
     name: str
     spread: str = ini.key(
-        ini.one_of(*sorted(spread.picker_by_name)),
+        ini.one_of(*sorted(balancing_algorithms.algorithm_by_name)),
         "how a target is picked",
         "least-cost",
     )
-    weight: expressions.Program = ini.key(
+    weight: expressions.Evaluator = ini.key(
         _expression(_WEIGHT_SAMPLE, 1.0),
         "factor on a target's share, from load, slots, same_domain, state",
-        EVEN,
+        EQUAL_WEIGHT,
     )
-    failure: expressions.Program = ini.key(
+    failure: expressions.Evaluator = ini.key(
         _expression(_ANSWER_SAMPLE, True),
         "whether an answer counts as a failure, from status",
         _FAILED,
     )
-    retry: expressions.Program = ini.key(
+    retry: expressions.Evaluator = ini.key(
         _expression(_RETRY_SAMPLE, False),
         "whether to try another target, from attempt, status, outcome, "
         "reason, repeatable, method, remaining",
@@ -101,12 +101,12 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def _is_failure(failure: expressions.Program, status: int) -> bool:
+def _is_failure(failure: expressions.Evaluator, status: int) -> bool:
     return bool(failure.evaluate(status=status))
 
 
 @dataclasses.dataclass(frozen=True)
-class Header:
+class PolicySection:
     """Section [policy]."""
 
     name: str = ini.key(ini.name, "name of the policy")
@@ -122,9 +122,9 @@
     """
 
     name: str
-    service_by_name: dict[str, Service]
+    service_by_name: dict[str, ServicePolicy]
 
-    def program(self, service: str) -> Service:
+    def program(self, service: str) -> ServicePolicy:
         """The program of a service.
 
         >>> BUILT_IN.program("s").spread
@@ -135,7 +135,7 @@
         return named or _BUILT_IN_SERVICE
 
 
-_BUILT_IN_SERVICE = Service(DEFAULT)
+_BUILT_IN_SERVICE = ServicePolicy(DEFAULT)
 BUILT_IN = Policy("built-in", {})
 
 
@@ -147,13 +147,13 @@
     """
     reader = ini.Reader(file, content)
     header = None
-    services: dict[str, Service] = {}
+    services: dict[str, ServicePolicy] = {}
     for section in reader.sections:
         kind, _, name = section.partition(" ")
         if section == "policy":
-            header = reader.read(section, Header)
+            header = reader.read(section, PolicySection)
         elif kind == "service" and _is_name(reader, section, name):
-            service = reader.read(section, Service, name=name)
+            service = reader.read(section, ServicePolicy, name=name)
             if service is not None:
                 services[name] = service
         elif kind != "service":
--- a/forklift/readers.py
+++ b/forklift/readers.py
@@ -7,7 +7,7 @@
 """
 
 from forklift import membership
-from forklift import overlay
+from forklift import rendezvous
 
 # Readers of a fleet: so many that reads begin often enough, by somebody, for a
 # version to be noticed within the bound though all connections fell silent. A
@@ -48,7 +48,7 @@
         domain_by_name = {
             info.name: info.domain for info in self._directory.usable()
         }
-        ranked = overlay.rank(_SALT, domain_by_name)
+        ranked = rendezvous.rank(_SALT, domain_by_name)
         chosen = set(ranked[:READERS])
         for domain in set(domain_by_name.values()):
             own = [name for name in ranked if domain_by_name[name] == domain]
--- a/forklift/overlay.py
+++ b/forklift/rendezvous.py
@@ -11,10 +11,10 @@
 import xxhash
 
 # Scores that are remembered: of a large fleet, for each purpose.
-KEPT = 8192
+CACHED_SCORES = 8192
 
 
-@functools.lru_cache(KEPT)
+@functools.lru_cache(CACHED_SCORES)
 def score(salt: str, name: str) -> int:
     """A score that every process computes alike."""
     return xxhash.xxh3_64_intdigest(f"{salt}\0{name}".encode())
@@ -29,6 +29,6 @@
     return sorted(names, key=lambda name: (-score(salt, name), name))
 
 
-def pick(salt: str, names: Iterable[str], most: int) -> list[str]:
-    """At most `most` names."""
-    return rank(salt, names)[:most]
+def select(salt: str, names: Iterable[str], count: int) -> list[str]:
+    """At most `count` names."""
+    return rank(salt, names)[:count]
--- a/forklift/walk.py
+++ b/forklift/retries.py
@@ -16,37 +16,37 @@
 
 # Seconds until the next look for a target when none may be sent to; it doubles
 # up to the second figure, as each look may cost a message to each gate.
-POLL = 0.02
-POLL_MOST = 0.16
+POLL_INTERVAL = 0.02
+MAX_POLL_INTERVAL = 0.16
 # Part of its time after which a request that may repeat takes a doubted target
 # where no sound one is known: waiting longer leaves no time for an answer.
-INSIST_SHARE = 0.25
+RELAX_AFTER_SHARE = 0.25
 # Part of its time within which a request must have left the queue of a gate,
 # the first time: what starts later mostly ends unserved, and its caller is
 # better told to come back.
-START_SHARE = 0.8
+START_DEADLINE_SHARE = 0.8
 # Seconds that any request waits: bursts are over sooner than its caller could
 # be back.
-LEAST_WAIT = 0.15
+MIN_QUEUE_TIME = 0.15
 # Gates that are asked for a free slot before a request waits at one.
 MAX_REFUSALS = 4
 # Gates, the least filled ones, that may say that waiting takes too long before
 # the request is given up: it then has its final answer at once.
-MAX_TOO_LONG = 3
+MAX_QUEUE_REJECTIONS = 3
 # Standard deviations above the usual latency of its route after which a
 # request that may repeat is also sent to a second target: of sound requests
 # one in twenty-five is that late. Where an answer of full worth could still
 # come from a second target, less is waited, but not less than the second
 # figure: one in six.
-HEDGE_LATE = 1.75
-HEDGE_LEAST = 1.0
+HEDGE_DEVIATIONS = 1.75
+MIN_HEDGE_DEVIATIONS = 1.0
 # Part by which the time to come back is drawn longer: callers that were refused
 # together would all return together, and be refused once more.
-COME_BACK_SPREAD = 0.5
+RETRY_AFTER_JITTER = 0.5
 # What arrived at a target though it did not run.
-_ARRIVED = (Reason.SHED,)
+_REFUSED_BY_TARGET = (Reason.SHED,)
 # A refusal of this kind says nothing that the view of the target tells too.
-_PASSING_BY = (
+_RETRY_ELSEWHERE = (
     Reason.BUSY,
     Reason.STALE,
     Reason.CONNECT_FAILED,
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass
-class Walk:
+class RetryState:
     """What became of a request so far, and what it accepts.
 
     Attributes:
@@ -68,14 +68,14 @@
         tried: Targets that it arrived at.
         refused: Targets that can't take it just now.
         unproven: Those of them whose risk was too high to be the first choice.
-        sends: Arrivals at targets.
-        runs: Those of them that may have run.
-        paid: Whether the next arrival has been taken from the budget.
-        end_by: Monotonic seconds by which it must be over, as its process
-            ends then.
+        attempts: Arrivals at targets.
+        possible_runs: Those of them that may have run.
+        budget_charged: Whether the next arrival has been taken from the budget.
+        process_exits_at: Monotonic seconds by which it must be over, as its
+            process ends then.
         sound: Whether it accepts targets whose risk is not low, only no doubt.
         wait: Whether it waits where no slot is free.
-        alone: Whether a target crashed that was running it.
+        exclusive: Whether a target crashed that was running it.
         polls: How often it found no target that it may be sent to.
         refusals_by_reason: How often it was refused, for its story.
     """
@@ -85,25 +85,25 @@
     tried: set[str] = dataclasses.field(default_factory=set)
     refused: set[str] = dataclasses.field(default_factory=set)
     unproven: set[str] = dataclasses.field(default_factory=set)
-    sends: int = 0
-    runs: int = 0
-    paid: bool = False
-    end_by: float = math.inf
+    attempts: int = 0
+    possible_runs: int = 0
+    budget_charged: bool = False
+    process_exits_at: float = math.inf
     sound: bool = False
     wait: bool = False
-    alone: bool = False
+    exclusive: bool = False
     refusals_by_reason: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     polls: int = 0
     _expired: bool = False
     _refusals: int = 0
-    _too_long: int = 0
+    _queue_rejections: int = 0
 
     @property
-    def hopeless(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether gates said that waiting takes too long, or has taken so."""
-        return self._expired or self._too_long >= MAX_TOO_LONG
+        return self._expired or self._queue_rejections >= MAX_QUEUE_REJECTIONS
 
     def start_by(self, usual: latency.Latency, aim: float) -> float:
         """When it must have started; what ran once already is not bound.
@@ -117,21 +117,23 @@
             usual: Usual latency of its route.
             aim: Monotonic seconds up to which an answer has its full worth.
         """
-        if self.sends:
-            return self.end_by
+        if self.attempts:
+            return self.process_exits_at
         whole = self.deadline - self.started
-        latest = min(self.end_by, self.started + START_SHARE * whole)
-        timely = max(aim - usual.expected, self.started + LEAST_WAIT)
+        latest = min(
+            self.process_exits_at, self.started + START_DEADLINE_SHARE * whole
+        )
+        timely = max(aim - usual.expected, self.started + MIN_QUEUE_TIME)
         return min(latest, timely)
 
     def insist(self, now: float) -> admission.Insist:
         """How much doubt about a target it accepts by now."""
         whole = self.deadline - self.started
-        if now >= self.started + INSIST_SHARE * whole:
+        if now >= self.started + RELAX_AFTER_SHARE * whole:
             return admission.Insist.ANY
         return admission.Insist.SOUND if self.sound else admission.Insist.PROVEN
 
-    def accept_more(self) -> bool:
+    def relax_requirements(self) -> bool:
         """Accepts a worse target, where that is left; True when it is.
 
         First one with a slot free that did well of late; then an idle one of
@@ -148,42 +150,44 @@
         else:
             return False
         self._refusals = 0
-        self._too_long = 0
+        self._queue_rejections = 0
         return True
 
-    def pause(self) -> float:
+    def next_poll_delay(self) -> float:
         """Seconds until the next look, when nothing more can be accepted."""
-        seconds = min(POLL_MOST, POLL * 2**self.polls)
+        seconds = min(MAX_POLL_INTERVAL, POLL_INTERVAL * 2**self.polls)
         self.polls += 1
         self.refused.clear()
         return seconds
 
-    def not_run(self, target: str, reason: Reason | None) -> None:
+    def record_not_run(self, target: str, reason: Reason | None) -> None:
         """A target did not run it."""
         self.refusals_by_reason[str(reason or "")] += 1
-        if reason in _ARRIVED:
-            self._arrived(target)
+        if reason in _REFUSED_BY_TARGET:
+            self._record_arrival(target)
         if reason in (Reason.DEADLINE, Reason.QUARANTINED):
             # Any other gate would say the same, at once.
             self._expired = True
-        if reason not in _PASSING_BY:
+        if reason not in _RETRY_ELSEWHERE:
             return
         self.refused.add(target)
         self._refusals += 1
         if self.wait and reason is Reason.BUSY:
-            self._too_long += 1
+            self._queue_rejections += 1
         if reason is Reason.UNPROVEN:
             self.unproven.add(target)
         if self._refusals >= MAX_REFUSALS:
-            self.accept_more()
+            self.relax_requirements()
 
-    def ran(self, target: str, reason: Reason | None = None) -> None:
+    def record_run(self, target: str, reason: Reason | None = None) -> None:
         """A target ran it, or may have."""
-        self._arrived(target)
-        self.runs += 1
-        self.alone = self.alone or reason is Reason.TARGET_CRASHED
+        self._record_arrival(target)
+        self.possible_runs += 1
+        self.exclusive = self.exclusive or reason is Reason.TARGET_CRASHED
 
-    def too_late(self, usual: latency.Latency, aim: float, now: float) -> bool:
+    def should_give_up(
+        self, usual: latency.Latency, aim: float, now: float
+    ) -> bool:
         """Whether it is given up: no answer can come in time any more.
 
         Args:
@@ -191,14 +195,18 @@
             aim: Monotonic seconds up to which an answer has its full worth.
             now: Monotonic seconds.
         """
-        if self.polls and not self.sends and now >= self.start_by(usual, aim):
+        if (
+            self.polls
+            and not self.attempts
+            and now >= self.start_by(usual, aim)
+        ):
             return True
-        if now >= min(self.deadline, self.end_by):
+        if now >= min(self.deadline, self.process_exits_at):
             return True
         # The first attempt is made whatever the time that is left.
-        return self.sends > 0 and now + usual.median / 2 > self.deadline
+        return self.attempts > 0 and now + usual.median / 2 > self.deadline
 
-    def patience(
+    def hedge_delay(
         self, usual: latency.Latency, aim: float, now: float
     ) -> float | None:
         """Seconds until a second attempt beside the first; None for none.
@@ -209,22 +217,25 @@
             now: Monotonic seconds.
         """
         in_time = aim - now - usual.median
-        late, least = usual.quantile(HEDGE_LATE), usual.quantile(HEDGE_LEAST)
-        patience = max(least, min(late, in_time))
-        if now + patience + usual.median >= self.deadline:
+        late, least = (
+            usual.quantile(HEDGE_DEVIATIONS),
+            usual.quantile(MIN_HEDGE_DEVIATIONS),
+        )
+        hedge_delay = max(least, min(late, in_time))
+        if now + hedge_delay + usual.median >= self.deadline:
             return None
-        return patience
+        return hedge_delay
 
-    def come_back(self, expected: float, draw: float) -> float:
+    def retry_after(self, expected: float, draw: float) -> float:
         """Seconds after which its caller is told to come back.
 
         Args:
             expected: Seconds after which a slot is likely.
             draw: A random number from 0 to 1.
         """
-        return expected * (1 + COME_BACK_SPREAD * draw)
+        return expected * (1 + RETRY_AFTER_JITTER * draw)
 
-    def _arrived(self, target: str) -> None:
-        self.sends += 1
-        self.paid = False
+    def _record_arrival(self, target: str) -> None:
+        self.attempts += 1
+        self.budget_charged = False
         self.tried.add(target)
--- a/forklift/routing.py
+++ b/forklift/routing.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 from typing import TypeVar
 
-P = TypeVar("P", bound="Place")
+P = TypeVar("P", bound="Routable")
 ANY_HOST = "*"
 MAX_DEPTH = 32
 
@@ -45,7 +45,7 @@
     return prefix.rstrip("/")
 
 
-class Place(Protocol):
+class Routable(Protocol):
     """What a table holds: anything with a host and a path prefix."""
 
     host: str
--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -372,7 +372,7 @@
         )
 
     def _sign(self, service: str, status: int) -> Sign:
-        program: policy.Service = self._program(service)
+        program: policy.ServicePolicy = self._program(service)
         return Sign.ERROR if program.is_failure(status) else Sign.WELL
 
     def _timed_out(self, ticket: admission.Ticket) -> exchange.Result:
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -13,13 +13,13 @@
 import structlog
 
 from forklift import admission
-from forklift import chooser as choosers
 from forklift import invariants
 from forklift import latency
+from forklift import load_balancer
 from forklift import messages
 from forklift import policy
 from forklift import quarantine as quarantines
-from forklift import walk as walks
+from forklift import retries
 from forklift.shell import beside as besides
 from forklift.shell import exchange
 from forklift.shell import holding as holdings
@@ -47,7 +47,7 @@
         self,
         name: str,
         boot: int,
-        chooser: choosers.Chooser,
+        balancer: load_balancer.LoadBalancer,
         beside: besides.Beside,
         links: linking.Links,
         program,
@@ -58,7 +58,7 @@
         self.name = name
         self.quarantine = quarantine or quarantines.Quarantine()
         self.boot = boot
-        self.chooser = chooser
+        self.balancer = balancer
         self.beside = beside
         self.program = program
         self.clock = clock
@@ -118,11 +118,13 @@
         sink: exchange.Sink,
     ):
         self._forwarder = forwarder
-        self._chooser = forwarder.chooser
+        self._balancer = forwarder.balancer
         self._request = request
         self._sink = sink
-        self._walk = walks.Walk(
-            self._now(), request.deadline, end_by=forwarder.bounds.refuse_at
+        self._retry_state = retries.RetryState(
+            self._now(),
+            request.deadline,
+            process_exits_at=forwarder.bounds.refuse_at,
         )
         self._bounds = forwarder.bounds
         self._until: asyncio.Timeout | None = None
@@ -134,13 +136,16 @@
 
     async def run(self) -> exchange.Result:
         """Sends the request until it is answered or given up."""
-        self._chooser.request(self._request.service, self._now())
+        self._balancer.record_request(self._request.service, self._now())
         result = await self._go_in_time()
         if self._held is not None and not self._sink.begun:
             return await self._held.flush()
         if result.ending.outcome is not Outcome.ANSWERED:
             self._tell_why()
-        if self._walk.runs and result.ending.outcome is Outcome.NOT_RUN:
+        if (
+            self._retry_state.possible_runs
+            and result.ending.outcome is Outcome.NOT_RUN
+        ):
             # The last target refused it, but an earlier one may have run it.
             return exchange.unknown(result.ending.reason)
         return self._spread(result)
@@ -150,14 +155,16 @@
         expected = result.ending.retry_after
         if not expected:
             return result
-        after = self._walk.come_back(expected, self._forwarder.rng.random())
+        after = self._retry_state.retry_after(
+            expected, self._forwarder.rng.random()
+        )
         ending = dataclasses.replace(result.ending, retry_after=after)
         return dataclasses.replace(result, ending=ending)
 
     def end(self, bounds: stopping.Bounds) -> None:
         """The process ends: this request must be over by then."""
         self._bounds = bounds
-        self._walk.end_by = bounds.refuse_at
+        self._retry_state.process_exits_at = bounds.refuse_at
         self._bound()
 
     def _ask(self, asking: bool) -> None:
@@ -180,7 +187,7 @@
                 self._bound()
                 return await self._go()
         except TimeoutError:
-            if self._asking or self._walk.runs:
+            if self._asking or self._retry_state.possible_runs:
                 return exchange.unknown(Reason.DRAINING)
             return exchange.not_run(Reason.DRAINING, RETRY_AFTER)
         finally:
@@ -192,47 +199,47 @@
 
     def _tell_why(self) -> None:
         """Logs what a request met on its way before it was given up."""
-        walk, service = self._walk, self._request.service
+        retry_state, service = self._retry_state, self._request.service
         _log.info(
             "given_up",
             request=self._request.id,
             service=service,
-            refusals=dict(walk.refusals_by_reason),
-            sends=walk.sends,
-            waits=walk.wait,
-            insist=walk.insist(self._now()).name.lower(),
-            targets=self._chooser.count_by_state(service, self._now()),
-            repeats_refused=self._chooser.repeats_refused(service),
+            refusals=dict(retry_state.refusals_by_reason),
+            sends=retry_state.attempts,
+            waits=retry_state.wait,
+            insist=retry_state.insist(self._now()).name.lower(),
+            targets=self._balancer.count_by_state(service, self._now()),
+            repeats_refused=self._balancer.retries_refused(service),
         )
 
     def _now(self) -> float:
         return self._forwarder.clock.monotonic()
 
     @property
-    def _program(self) -> policy.Service:
+    def _program(self) -> policy.ServicePolicy:
         return self._forwarder.program(self._request.service)
 
     @property
     def _usual(self) -> latency.Latency:
         """How long requests of its route take."""
         route = self._request.route
-        return self._chooser.latencies.of(route, self._objective)
+        return self._balancer.latencies.of(route, self._objective)
 
     @property
     def _objective(self) -> float:
         """Seconds within which an answer has its full worth."""
-        return self._request.aim - self._walk.started
+        return self._request.aim - self._retry_state.started
 
     @property
     def _start_by(self) -> float:
-        return self._walk.start_by(self._usual, self._request.aim)
+        return self._retry_state.start_by(self._usual, self._request.aim)
 
     @property
     def _kilobytes(self) -> float:
         """Size of the request and of its answer, as far as known."""
         request = self._request
         sent = max(request.length, len(request.body.first))
-        return (sent + self._chooser.response_sizes.of(request.route)) / 1024
+        return (sent + self._balancer.response_sizes.of(request.route)) / 1024
 
     def _held_for(self) -> float:
         """Seconds for which it is held back, as it crashes targets."""
@@ -245,7 +252,7 @@
         fingerprint = self._request.fingerprint
         quarantine = self._forwarder.quarantine
         suspect = quarantine.suspects(fingerprint, self._now())
-        return suspect or self._walk.alone
+        return suspect or self._retry_state.exclusive
 
     @property
     def _again(self) -> bool:
@@ -255,67 +262,76 @@
     async def _go(self) -> exchange.Result:
         result = exchange.not_run(Reason.NO_TARGET, RETRY_AFTER)
         aim = self._request.aim
-        while not self._walk.too_late(self._usual, aim, self._now()):
+        while not self._retry_state.should_give_up(
+            self._usual, aim, self._now()
+        ):
             held = self._held_for()
             if held:
                 return exchange.not_run(Reason.QUARANTINED, held)
-            choice = self._choose()
-            if choice is None:
+            selection = self._choose()
+            if selection is None:
                 if self._held is not None:
                     # A repeat that no target takes now has an answer already.
                     return result
-                if not self._walk.accept_more():
-                    await asyncio.sleep(self._walk.pause())
+                if not self._retry_state.relax_requirements():
+                    await asyncio.sleep(self._retry_state.next_poll_delay())
                 continue
             if not self._pay():
                 service = self._request.service
-                self._chooser.ended(service, choice, None, self._now())
+                self._balancer.finish_attempt(
+                    service, selection, None, self._now()
+                )
                 return result
             self._ask(True)
-            tried = await self._send(choice)
+            tried = await self._send(selection)
             self._ask(False)
             result = tried.result
             if not self._goes_on(tried):
                 return result
         return result
 
-    def _choose(self) -> choosers.Choice | None:
-        walk, now = self._walk, self._now()
-        wish = choosers.Wish(
+    def _choose(self) -> load_balancer.Selection | None:
+        retry_state, now = self._retry_state, self._now()
+        requirements = load_balancer.Requirements(
             self._request.service,
             self._request.repeatable,
-            walk.insist(now),
-            scout=walk.sends == 0,
-            wait=walk.wait,
+            retry_state.insist(now),
+            scout=retry_state.attempts == 0,
+            wait=retry_state.wait,
             kilobytes=self._kilobytes,
         )
-        tried, refused = frozenset(walk.tried), frozenset(walk.refused)
-        return self._chooser.choose(wish, tried, now, refused)
+        tried, refused = (
+            frozenset(retry_state.tried),
+            frozenset(retry_state.refused),
+        )
+        return self._balancer.select(requirements, tried, now, refused)
 
     def _pay(self) -> bool:
         """Whether it may be sent: the first time free, then by the budget."""
-        walk = self._walk
-        if walk.sends == 0 or walk.paid:
+        retry_state = self._retry_state
+        if retry_state.attempts == 0 or retry_state.budget_charged:
             return True
-        if walk.sends >= self._request.attempts:
+        if retry_state.attempts >= self._request.attempts:
             return False
-        walk.paid = self._chooser.spend(
+        retry_state.budget_charged = self._balancer.spend_retry(
             self._request.service, self._now(), aim=self._objective
         )
-        return walk.paid
+        return retry_state.budget_charged
 
     # What became of an attempt.
 
     def _goes_on(self, tried: racing.Tried) -> bool:
         """Takes note of an attempt; whether another target is tried."""
-        ending, target = tried.result.ending, tried.choice.target
+        ending, target = tried.result.ending, tried.selection.target
         if ending.outcome is Outcome.NOT_RUN:
-            self._walk.not_run(target, ending.reason)
-            return self._again and not self._walk.hopeless
-        self._walk.ran(target, ending.reason)
+            self._retry_state.record_not_run(target, ending.reason)
+            return self._again and not self._retry_state.exhausted
+        self._retry_state.record_run(target, ending.reason)
         self._note_failure(ending)
         if not self._request.repeatable:
-            invariants.at_most_once(self._walk.runs, self._request.id)
+            invariants.at_most_once(
+                self._retry_state.possible_runs, self._request.id
+            )
             return False
         if not self._again or not self._worth_repeating(ending):
             return False
@@ -325,20 +341,20 @@
             request=self._request.id,
             target=target,
             reason=str(ending.reason or ending.status),
-            sends=self._walk.sends,
+            sends=self._retry_state.attempts,
         )
         return True
 
     def _note_failure(self, ending: exchange.Ending) -> None:
         answered = ending.outcome is Outcome.ANSWERED
         if not answered or self._program.is_failure(ending.status):
-            self._chooser.failed(self._request.service, self._now())
+            self._balancer.record_failure(self._request.service, self._now())
 
     def _worth_repeating(self, ending: exchange.Ending) -> bool:
         request = self._request
         return bool(
             self._program.retry.evaluate(
-                attempt=self._walk.sends,
+                attempt=self._retry_state.attempts,
                 status=ending.status,
                 outcome=str(ending.outcome),
                 reason=str(ending.reason or ""),
@@ -350,55 +366,59 @@
 
     # One attempt, or two beside each other.
 
-    async def _send(self, first: choosers.Choice) -> racing.Tried:
+    async def _send(self, first: load_balancer.Selection) -> racing.Tried:
         """Makes an attempt, and a second beside it where it takes long."""
         race = racing.Race(self._turn, self._begin, self._second, self._goes_on)
         return await race.run(first, self._patience())
 
-    def _begin(self, choice: choosers.Choice, second: bool) -> racing.Attempt:
+    def _begin(
+        self, selection: load_balancer.Selection, second: bool
+    ) -> racing.Attempt:
         # Tells answers that another target may replace.
         is_failure = None
         if self._request.repeatable and self._request.body.again:
             is_failure = self._program.is_failure
         holding = holdings.Holding(self._sink, is_failure, self._turn)
-        task = asyncio.create_task(self._attempt(choice, holding, second))
-        return racing.Attempt(choice, holding, task)
+        task = asyncio.create_task(self._attempt(selection, holding, second))
+        return racing.Attempt(selection, holding, task)
 
     def _patience(self) -> float | None:
         """Seconds until a second attempt; None where there is none."""
         request = self._request
         once = not request.repeatable or not request.body.again
-        if once or self._walk.sends + 2 > request.attempts:
+        if once or self._retry_state.attempts + 2 > request.attempts:
             return None
         if self._alone:
             # A second target is not put at risk beside the first.
             return None
-        return self._walk.patience(self._usual, request.aim, self._now())
+        return self._retry_state.hedge_delay(
+            self._usual, request.aim, self._now()
+        )
 
     def _second(
-        self, first: choosers.Choice, under_way: int
-    ) -> choosers.Choice | None:
+        self, first: load_balancer.Selection, under_way: int
+    ) -> load_balancer.Selection | None:
         """A free, sound target for a second attempt, if one may be made."""
         if (
             self._alone
-            or self._walk.sends + under_way >= self._request.attempts
+            or self._retry_state.attempts + under_way >= self._request.attempts
         ):
             return None
         service, now = self._request.service, self._now()
-        wish = choosers.Wish(
+        requirements = load_balancer.Requirements(
             service, True, scout=False, kilobytes=self._kilobytes
         )
-        passed = frozenset(self._walk.tried | {first.target})
-        refused = frozenset(self._walk.refused)
-        second = self._chooser.choose(wish, passed, now, refused)
+        passed = frozenset(self._retry_state.tried | {first.target})
+        refused = frozenset(self._retry_state.refused)
+        second = self._balancer.select(requirements, passed, now, refused)
         if second is None:
             return None
-        if not self._walk.paid:
-            self._walk.paid = self._chooser.spend(
+        if not self._retry_state.budget_charged:
+            self._retry_state.budget_charged = self._balancer.spend_retry(
                 service, now, HEDGE_SHARE, self._objective
             )
-        if not self._walk.paid:
-            self._chooser.ended(service, second, None, now)
+        if not self._retry_state.budget_charged:
+            self._balancer.finish_attempt(service, second, None, now)
             return None
         self._forwarder.hedges += 1
         _log.info(
@@ -406,29 +426,34 @@
             request=self._request.id,
             target=first.target,
             second=second.target,
-            seconds=round(now - self._walk.started, 3),
+            seconds=round(now - self._retry_state.started, 3),
             usual=round(self._usual.median, 4),
         )
         return second
 
     async def _attempt(
-        self, choice: choosers.Choice, holding: holdings.Holding, second: bool
+        self,
+        selection: load_balancer.Selection,
+        holding: holdings.Holding,
+        second: bool,
     ) -> exchange.Result:
         self._forwarder.sends += 1
-        insist = max(self._walk.insist(self._now()), choice.insist)
+        insist = max(self._retry_state.insist(self._now()), selection.insist)
         # One that goes beside another need not start as soon.
         start_by = math.inf if second else self._start_by
         result = None
         try:
-            if choice.process == self._forwarder.name:
-                result = await self._run_here(choice, holding, insist, start_by)
+            if selection.process == self._forwarder.name:
+                result = await self._run_here(
+                    selection, holding, insist, start_by
+                )
             else:
                 result = await self._forwarder.sender.send(
                     self._request,
-                    choice,
+                    selection,
                     holding,
                     insist,
-                    self._walk.wait,
+                    self._retry_state.wait,
                     start_by,
                     self._alone,
                 )
@@ -441,15 +466,17 @@
                 self._turn.give_back(holding)
             load = result.load if result is not None else None
             if holding.length > 0:
-                self._chooser.response_sizes.note(
+                self._balancer.response_sizes.note(
                     self._request.route, holding.length
                 )
             service = self._request.service
-            self._chooser.ended(service, choice, load, self._now(), self._usual)
+            self._balancer.finish_attempt(
+                service, selection, load, self._now(), self._usual
+            )
 
     async def _run_here(
         self,
-        choice: choosers.Choice,
+        selection: load_balancer.Selection,
         sink: exchange.Sink,
         insist: admission.Insist,
         start_by: float,
@@ -463,10 +490,10 @@
             insist,
             request.aim,
             request.route,
-            self._walk.wait,
+            self._retry_state.wait,
             start_by,
             self._alone,
         )
         return await self._forwarder.beside.run(
-            choice.target, ticket, request, sink
+            selection.target, ticket, request, sink
         )
--- a/forklift/shell/keeping.py
+++ b/forklift/shell/keeping.py
@@ -13,9 +13,9 @@
 
 from forklift import errors
 from forklift import messages
-from forklift import overlay
 from forklift import ports
 from forklift import quarantine as quarantines
+from forklift import rendezvous
 from forklift import unreadable
 from forklift.shell import clock as clocks
 from forklift.shell import registry
@@ -102,7 +102,7 @@
     def _owns(self, fingerprint: bytes) -> bool:
         """Whether it is this process, of all, that writes a record."""
         names = [self._name, *self._others()]
-        return overlay.pick(fingerprint.hex(), names, 1) == [self._name]
+        return rendezvous.select(fingerprint.hex(), names, 1) == [self._name]
 
     def _refresh(self, fingerprint: bytes, now: float) -> None:
         """Has a record written that is missing or behind."""
--- a/forklift/shell/links.py
+++ b/forklift/shell/links.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         directory: membership.Directory,
-        known: paths.Paths,
+        known: paths.Reachability,
         hello: Callable[[], messages.Hello],
         key: bytes,
         clock,
@@ -34,7 +34,7 @@
     ):
         self._on_standing = on_standing
         self._directory = directory
-        self._paths = known
+        self._reachability = known
         self._hello = hello
         self._key = key
         self._clock = clock
@@ -81,15 +81,15 @@
             if link.lost:
                 del self.link_by_process[process]
             elif link.waiting:
-                self._paths.sent(process, now)
+                self._reachability.expect_reply(process, now)
             else:
-                self._paths.settled(process)
-        for process in self._paths.silent(now):
+                self._reachability.cancel_expected_reply(process)
+        for process in self._reachability.take_timed_out(now):
             _log.warning("peer_lost", process=process, cause="silent")
             link = self.link_by_process.get(process)
             if link is not None:
                 link.give_up_repeatable()
-        for process in self._paths.to_beat(now):
+        for process in self._reachability.take_due_heartbeats(now):
             task = asyncio.create_task(self._ask_for_sign(process))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -143,12 +143,12 @@
         return link
 
     def _fail(self, process: str, cause: str, now: float) -> None:
-        if self._paths.usable(process):
+        if self._reachability.is_reachable(process):
             _log.warning("peer_lost", process=process, cause=cause)
-        self._paths.path_failed(process, cause, now)
+        self._reachability.mark_unreachable(process, cause, now)
 
     def _hear(self, process: str) -> None:
-        if self._paths.heard(process):
+        if self._reachability.record_reply(process):
             _log.info("peer_back", process=process)
 
     def _lost(self, process: str, link: peers.Link) -> None:
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -9,9 +9,9 @@
 
 from forklift import admission
 from forklift import catalog
-from forklift import chooser as choosers
 from forklift import dissemination
 from forklift import gossip
+from forklift import load_balancer
 from forklift import membership
 from forklift import messages
 from forklift import ports
@@ -42,7 +42,7 @@
         rng: random.Random,
         clock: clocks.SystemClock,
         in_force: catalog.InForce,
-        chooser: choosers.Chooser,
+        balancer: load_balancer.LoadBalancer,
         beside: besides.Beside,
         send: Callable[[str, messages.Control, bool], object],
         on_record: Callable[[bytes, str], None],
@@ -71,7 +71,7 @@
         self._rng = rng
         self._clock = clock
         self._in_force = in_force
-        self._chooser = chooser
+        self._balancer = balancer
         self._beside = beside
         self._send_to = send
         self._on_record = on_record
@@ -185,7 +185,9 @@
             self._send(self.quarantine_sync.receive(message, now))
             return
         if isinstance(message, messages.IdleTarget):
-            self._chooser.idle(message.target, message.load, now)
+            self._balancer.record_work_request(
+                message.target, message.load, now
+            )
             return
         if isinstance(message, messages.LeavingTargets):
             for name in message.names:
@@ -251,12 +253,12 @@
         """Takes news of members over into the choice of targets."""
         for name, info in self.directory.take_changes():
             if info is None:
-                self._chooser.forget(name)
+                self._balancer.remove_process(name)
             else:
-                self._chooser.learn(info)
+                self._balancer.update_process(info)
         if self._counted:
             known = len(self.directory.member_by_name)
-            self._chooser.processes = known + 1
+            self._balancer.process_count = known + 1
 
     def describe(self) -> bool:
         """Describes this process anew; True when that is news."""
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -12,11 +12,11 @@
 
 from forklift import admission
 from forklift import catalog
-from forklift import chooser
 from forklift import counters
 from forklift import dialect
 from forklift import errors
 from forklift import invariants
+from forklift import load_balancer
 from forklift import messages
 from forklift import policy
 from forklift import ports
@@ -122,7 +122,7 @@
             self._heard,
             own.control_public,
         )
-        self.chooser = chooser.Chooser(
+        self.balancer = load_balancer.LoadBalancer(
             own.name,
             own.domain,
             self._rng,
@@ -135,7 +135,7 @@
             self.program,
             self.clock,
             self._target_changed,
-            self.chooser.failing,
+            self.balancer.failure_percent,
             self.quarantine,
             self._evidence,
         )
@@ -161,7 +161,7 @@
             self._rng,
             self.clock,
             self.in_force,
-            self.chooser,
+            self.balancer,
             self.beside,
             self.control.send,
             self.configuring.record,
@@ -188,7 +188,7 @@
         )
         self.links = links.Links(
             self.directory,
-            self.chooser.paths,
+            self.balancer.reachability,
             self._hello,
             self._key,
             self.clock,
@@ -197,7 +197,7 @@
         self.forwarder = forward.Forwarder(
             own.name,
             self.boot,
-            self.chooser,
+            self.balancer,
             self.beside,
             self.links,
             self.program,
@@ -326,9 +326,9 @@
         self.settings = read
         self.announced.settings = read
         self.policy = load_policy(read)
-        self.chooser.bound(_bounds(self.settings))
+        self.balancer.set_retry_limits(_bounds(self.settings))
         self.limiting.limiter.bound(_limit_bounds(read))
-        self.chooser.far_cost = read.limits.far_cost
+        self.balancer.far_cost = read.limits.far_cost
 
     def running(self) -> int:
         """Requests in flight in any role."""
@@ -359,7 +359,7 @@
 
     # Configuration.
 
-    def program(self, service: str) -> policy.Service:
+    def program(self, service: str) -> policy.ServicePolicy:
         """The program of a service."""
         return self.policy.program(service)
 
@@ -377,7 +377,7 @@
         # Its watchers are told at once.
         self.ticker.nudge(0.0)
         self.announced.follow(found)
-        self.chooser.least_aim_by_service = found.least_aim_by_service
+        self.balancer.least_aim_by_service = found.least_aim_by_service
         self.directory.update_own(config=found.version)
 
     async def _handle(
@@ -436,7 +436,7 @@
 
     def _standing(self, standing: messages.Standing) -> None:
         now = self.clock.monotonic()
-        self.chooser.report(standing.target, standing.load, now)
+        self.balancer.update_load(standing.target, standing.load, now)
 
     # Peers' requests.
 
@@ -555,7 +555,7 @@
         return bool(
             self.ingress.running
             or self.beside.running
-            or self.chooser.paths.doubtful
+            or self.balancer.reachability.needs_checks
             or self.neighbours.active(self.clock.monotonic())
         )
 
@@ -623,7 +623,7 @@
     def _look_beside(self, now: float) -> None:
         """Keeps the choice of targets up to date on those beside."""
         for site in self.beside.site_by_target.values():
-            self.chooser.report(
+            self.balancer.update_load(
                 site.controller.name, site.controller.load(now), now
             )
 
@@ -661,8 +661,8 @@
     return rate_limits.Bounds(bounds.window, bounds.overshoot, bounds.slack)
 
 
-def _bounds(read: settings.Settings) -> chooser.BudgetBounds:
+def _bounds(read: settings.Settings) -> load_balancer.RetryBudgetLimits:
     bounds = read.budget
-    return chooser.BudgetBounds(
+    return load_balancer.RetryBudgetLimits(
         bounds.ratio, bounds.window, bounds.reserve, bounds.calls
     )
--- a/forklift/shell/racing.py
+++ b/forklift/shell/racing.py
@@ -9,7 +9,7 @@
 import dataclasses
 from collections.abc import Callable
 
-from forklift import chooser as choosers
+from forklift import load_balancer
 from forklift import messages
 from forklift.shell import exchange
 from forklift.shell import holding as holdings
@@ -24,12 +24,12 @@
     """A request under way to one target.
 
     Attributes:
-        choice: The target.
+        selection: The target.
         holding: What holds its answer.
         task: What waits for its end.
     """
 
-    choice: choosers.Choice
+    selection: load_balancer.Selection
     holding: holdings.Holding
     task: asyncio.Task[exchange.Result]
 
@@ -38,7 +38,7 @@
 class Tried:
     """An attempt that is over."""
 
-    choice: choosers.Choice
+    selection: load_balancer.Selection
     result: exchange.Result
 
 
@@ -48,8 +48,10 @@
     def __init__(
         self,
         turn: holdings.Turn,
-        begin: Callable[[choosers.Choice, bool], Attempt],
-        second: Callable[[choosers.Choice, int], choosers.Choice | None],
+        begin: Callable[[load_balancer.Selection, bool], Attempt],
+        second: Callable[
+            [load_balancer.Selection, int], load_balancer.Selection | None
+        ],
         note: Callable[[Tried], object],
     ):
         """Makes a race without attempts.
@@ -68,7 +70,7 @@
         self._attempt_by_task: dict[asyncio.Task, Attempt] = {}
 
     async def run(
-        self, first: choosers.Choice, patience: float | None
+        self, first: load_balancer.Selection, patience: float | None
     ) -> Tried:
         """Waits for the attempt that answers, or for the last to fail.
 
@@ -88,7 +90,7 @@
                     patience = self._hedge(first)
                     continue
                 attempt = self._attempt_by_task.pop(done.pop())
-                tried = Tried(attempt.choice, attempt.task.result())
+                tried = Tried(attempt.selection, attempt.task.result())
                 answers = self._turn.taken_by is attempt.holding
                 if answers or not self._attempt_by_task:
                     return tried
@@ -102,7 +104,7 @@
     def _add(self, attempt: Attempt) -> None:
         self._attempt_by_task[attempt.task] = attempt
 
-    def _hedge(self, first: choosers.Choice) -> float | None:
+    def _hedge(self, first: load_balancer.Selection) -> float | None:
         """Begins a second attempt; seconds until the next look, if any."""
         if self._turn.taken_by is not None:
             return None
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -34,7 +34,7 @@
         tuple(explain(proxy, name) for name in proxy.beside.site_by_target),
         requests,
         {
-            service: proxy.chooser.repeats_refused(service)
+            service: proxy.balancer.retries_refused(service)
             for service in proxy.in_force.catalog.services_by_name
         },
         {"all": proxy.forwarder.sends, "repeats": proxy.forwarder.repeats},
@@ -118,21 +118,21 @@
 
 
 def _targets(proxy) -> tuple[report.Target, ...]:
-    avoided = proxy.chooser.paths.avoided()
+    unreachable_causes = proxy.balancer.reachability.unreachable_causes()
     now = proxy.clock.monotonic()
     return tuple(
         report.Target(
             view.name,
             service,
             view.process,
-            view.near,
+            view.same_domain,
             str(view.state(now)),
             round(view.load(now), 1),
             view.slots,
-            avoided.get(view.process, ""),
+            unreachable_causes.get(view.process, ""),
         )
-        for service in proxy.chooser.services()
-        for view in proxy.chooser.views(service)
+        for service in proxy.balancer.services()
+        for view in proxy.balancer.views(service)
     )
 
 
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -12,8 +12,8 @@
 import structlog
 
 from forklift import admission
-from forklift import chooser as choosers
 from forklift import errors
+from forklift import load_balancer
 from forklift import messages
 from forklift.shell import beside as besides
 from forklift.shell import exchange
@@ -59,7 +59,7 @@
     async def send(
         self,
         request: exchange.Request,
-        choice: choosers.Choice,
+        selection: load_balancer.Selection,
         sink: exchange.Sink,
         insist: admission.Insist,
         wait: bool,
@@ -70,7 +70,7 @@
 
         Args:
             request: The request.
-            choice: The target and the process beside it.
+            selection: The target and the process beside it.
             sink: Where the answer goes.
             insist: How much doubt about the target it accepts.
             wait: Whether it waits there for a slot.
@@ -82,9 +82,9 @@
             asyncio.CancelledError: The caller gave up.
         """
         try:
-            link = await self._links.get(choice.process)
+            link = await self._links.get(selection.process)
             return await self._send_over(
-                link, request, choice, sink, insist, wait, start_by, alone
+                link, request, selection, sink, insist, wait, start_by, alone
             )
         except errors.PeerUnreachable:
             return exchange.not_run(Reason.PEER_LOST, RETRY_AFTER)
@@ -93,7 +93,7 @@
         self,
         link: peers.Link,
         request: exchange.Request,
-        choice: choosers.Choice,
+        selection: load_balancer.Selection,
         sink: exchange.Sink,
         insist: admission.Insist,
         wait: bool,
@@ -104,7 +104,7 @@
         if remaining <= 0:
             return exchange.not_run(Reason.DEADLINE)
         seq = self._next_seq()
-        start = _start(link, seq, choice.target, request, remaining, insist)
+        start = _start(link, seq, selection.target, request, remaining, insist)
         now = self._clock.monotonic()
         start = msgspec.structs.replace(
             start,
@@ -123,7 +123,7 @@
             result = exchange.unknown(Reason.TIMEOUT)
         if request.repeatable or sink.begun:
             return result
-        if await self._fence(choice.process, seq, to_boot):
+        if await self._fence(selection.process, seq, to_boot):
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
         return result
 
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -186,7 +186,7 @@
         self.gauge(
             "forklift.peers",
             "Processes that are known and usable, this one too",
-            lambda: [(proxy.chooser.processes, {})],
+            lambda: [(proxy.balancer.process_count, {})],
         )
         self.gauge(
             "forklift.running",
--- a/forklift/target_view.py
+++ b/forklift/target_view.py
@@ -9,29 +9,29 @@
 from forklift import messages
 
 State = messages.TargetState
-GONE = (State.PAUSED, State.DRAINING, State.LEFT)
+OUT_OF_SERVICE = (State.PAUSED, State.DRAINING, State.LEFT)
 
 # Seconds in which load that others caused fades to a third.
-LOAD_FADES = 1.0
+LOAD_DECAY_SECONDS = 1.0
 
 
-class View:
+class TargetView:
     """What the entry knows of one target."""
 
     def __init__(
         self,
         info: messages.TargetInfo,
         process: messages.ProcessInfo,
-        near: bool,
+        same_domain: bool,
     ):
         self.name = info.name
         self.process = process.name
         self.boot = process.boot
-        self.near = near
+        self.same_domain = same_domain
         self.slots = max(1, info.slots)
         self.in_flight = 0
-        self.picked = 0
-        self.next_scout = 0.0
+        self.pick_count = 0
+        self.next_probe_at = 0.0
         # Whether its guard asked for work.
         self.wants_work = False
         self._state = info.state
@@ -41,14 +41,14 @@
         self._others = 0.0
         self._others_at = float("-inf")
 
-    def follow(self, info: messages.TargetInfo) -> None:
+    def update_info(self, info: messages.TargetInfo) -> None:
         """Takes in what its guard tells everybody: that it leaves."""
-        if info.state in GONE:
+        if info.state in OUT_OF_SERVICE:
             self._state = info.state
 
-    def report(self, load: messages.Load, now: float) -> None:
+    def update_load(self, load: messages.Load, now: float) -> None:
         """Takes in the load that an answer or a notice carried."""
-        if load.version < self.version or self._state in GONE:
+        if load.version < self.version or self._state in OUT_OF_SERVICE:
             return
         self.version = load.version
         self._state = load.state
@@ -73,11 +73,13 @@
         """How likely it is in a bad phase, as far as is known here."""
         return health.drift(self._risk, now - self._others_at)
 
-    def idle(self, now: float) -> float:
+    def idle_seconds(self, now: float) -> float:
         """Seconds since a request is known to have begun there."""
         return now - self._used_at
 
     def load(self, now: float) -> float:
         """Own requests plus those of others, which fade with age."""
         age = now - self._others_at
-        return self.in_flight + self._others * math.exp(-age / LOAD_FADES)
+        return self.in_flight + self._others * math.exp(
+            -age / LOAD_DECAY_SECONDS
+        )
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -12,7 +12,7 @@
 import types
 
 from forklift import catalog
-from forklift import chooser
+from forklift import load_balancer
 from forklift import messages
 from forklift import policy
 from forklift import quarantine
@@ -49,8 +49,12 @@
             rng,
             fleet.clock,
             self.in_force,
-            chooser.Chooser(
-                name, "d", rng, policy.BUILT_IN.program, chooser.BudgetBounds()
+            load_balancer.LoadBalancer(
+                name,
+                "d",
+                rng,
+                policy.BUILT_IN.program,
+                load_balancer.RetryBudgetLimits(),
             ),
             types.SimpleNamespace(site_by_target={}),
             self._send,
--- a/test/processes.py
+++ b/test/processes.py
@@ -97,7 +97,7 @@
     def meets(self) -> bool:
         return all(
             one.in_force.known
-            and len(one.chooser.views("s")) == len(self.targets)
+            and len(one.balancer.views("s")) == len(self.targets)
             for one in self.proxies
         )
 
--- a/test/replay.py
+++ b/test/replay.py
@@ -13,7 +13,7 @@
 
 from forklift import admission
 from forklift import health
-from forklift import walk
+from forklift import retries
 from forklift.shell import ticking
 
 Sign = health.Sign
@@ -82,15 +82,16 @@
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = itertools.count()
         self._asked_by_id: dict[
-            tuple[int, int], tuple[Course, walk.Walk, admission.Controller]
+            tuple[int, int],
+            tuple[Course, retries.RetryState, admission.Controller],
         ] = {}
 
     def come(self, at: float, kind: Kind) -> None:
         """A request comes."""
         course = Course(kind, at)
         self.courses.append(course)
-        walked = walk.Walk(at, at + kind.timeout)
-        self._later(at, lambda now: self._ask(course, walked, now))
+        retry_state = retries.RetryState(at, at + kind.timeout)
+        self._later(at, lambda now: self._ask(course, retry_state, now))
 
     def run(self, until: float) -> None:
         """Plays all that comes until a time, and what follows from it."""
@@ -107,13 +108,15 @@
         for found in self.gates:
             self._decided(found.tick(now), now)
 
-    def _ask(self, course: Course, walked: walk.Walk, now: float) -> None:
+    def _ask(
+        self, course: Course, retry_state: retries.RetryState, now: float
+    ) -> None:
         kind, aim = course.kind, course.came + course.kind.aim
-        left = [f for f in self.gates if f.name not in walked.refused]
+        left = [f for f in self.gates if f.name not in retry_state.refused]
         if not left:
             course.ended = now
-            if walked.accept_more():
-                self._later(now, lambda at: self._ask(course, walked, at))
+            if retry_state.relax_requirements():
+                self._later(now, lambda at: self._ask(course, retry_state, at))
             return
         found = self._rng.choice(left)
         usual = found.latencies.of(kind.route, kind.aim)
@@ -121,14 +124,14 @@
             (1, next(self._numbers)),
             kind.repeatable,
             kind.priority,
-            walked.deadline,
-            walked.insist(now),
+            retry_state.deadline,
+            retry_state.insist(now),
             aim,
             kind.route,
-            wait=walked.wait,
-            start_by=walked.start_by(usual, aim),
+            wait=retry_state.wait,
+            start_by=retry_state.start_by(usual, aim),
         )
-        self._asked_by_id[ticket.id] = (course, walked, found)
+        self._asked_by_id[ticket.id] = (course, retry_state, found)
         self._decided([found.arrive(ticket, now)], now)
 
     def _decided(self, decisions: list[admission.Decision], now: float) -> None:
@@ -144,26 +147,26 @@
     def _refused(
         self,
         course: Course,
-        walked: walk.Walk,
+        retry_state: retries.RetryState,
         found: admission.Controller,
         decision: admission.Refuse,
         now: float,
     ) -> None:
         course.ended = now
-        walked.not_run(found.name, decision.reason)
-        if not walked.hopeless:
+        retry_state.record_not_run(found.name, decision.reason)
+        if not retry_state.exhausted:
             later = now + BETWEEN
-            self._later(later, lambda at: self._ask(course, walked, at))
+            self._later(later, lambda at: self._ask(course, retry_state, at))
 
     def _start(
         self,
         course: Course,
-        walked: walk.Walk,
+        retry_state: retries.RetryState,
         found: admission.Controller,
         ticket: admission.Ticket,
         now: float,
     ) -> None:
-        walked.ran(found.name)
+        retry_state.record_run(found.name)
         takes = course.kind.median * self._rng.lognormvariate(0.0, 0.5)
         hangs = self._bad(self.gates.index(found), now)
         hangs = hangs and self._rng.random() < health.FAILS_WHEN_BAD
--- a/test/test_spread.py
+++ b/test/test_balancing_algorithms.py
@@ -2,23 +2,25 @@
 
 import random
 
-from forklift import spread
+from forklift import balancing_algorithms
 
 
-def candidate(name: str, **changes) -> spread.Candidate:
+def candidate(name: str, **changes) -> balancing_algorithms.Candidate:
     fields = {
         "load": 0.0,
         "slots": 4,
         "weight": 1.0,
         "same_domain": True,
-        "picked": 0,
+        "pick_count": 0,
     }
-    return spread.Candidate(name, **{**fields, **changes})
+    return balancing_algorithms.Candidate(name, **{**fields, **changes})
 
 
-def picked(*candidates: spread.Candidate) -> set[str]:
+def picked(*candidates: balancing_algorithms.Candidate) -> set[str]:
     rng = random.Random(1)
-    return {spread.least_cost(candidates, rng).name for _ in range(40)}
+    return {
+        balancing_algorithms.least_cost(candidates, rng).name for _ in range(40)
+    }
 
 
 def test_the_cost_of_risk_goes_before_a_little_load():
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -24,7 +24,7 @@
     ("name", "kinds"),
     [
         ("SETTINGS.md", tuple(settings.SECTIONS.values())),
-        ("POLICY.md", (policy.Header, policy.Service)),
+        ("POLICY.md", (policy.PolicySection, policy.ServicePolicy)),
     ],
 )
 def test_every_key_is_described(name, kinds):
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -5,7 +5,7 @@
 import pytest
 
 from forklift import health
-from forklift import walk
+from forklift import retries
 from test import replay
 
 BOOK = replay.Kind("book", 0.45, 1.5, 5.0)
@@ -62,7 +62,7 @@
         return held, sum(one.timely for one in courses)
 
     held, timely = held_and_timely()
-    monkeypatch.setattr(walk, "LEAST_WAIT", 0.8 * BOOK.timeout)
+    monkeypatch.setattr(retries, "MIN_QUEUE_TIME", 0.8 * BOOK.timeout)
     held_longer, timely_longer = held_and_timely()
     assert held_longer > 1.5 * held
     assert timely_longer < 1.05 * timely
--- a/test/test_chooser.py
+++ b/test/test_load_balancer.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from forklift import admission
-from forklift import chooser
 from forklift import health
+from forklift import load_balancer
 from forklift import messages
 from forklift import policy
 from test import helper
@@ -18,31 +18,31 @@
 
 def made(
     *names: str, domains: dict | None = None, process: str = "p"
-) -> chooser.Chooser:
-    found = chooser.Chooser(
+) -> load_balancer.LoadBalancer:
+    found = load_balancer.LoadBalancer(
         process,
         "d",
         random.Random(1),
         policy.BUILT_IN.program,
-        chooser.BudgetBounds(1.0, 10.0, 100.0),
+        load_balancer.RetryBudgetLimits(1.0, 10.0, 100.0),
     )
     for name in names:
         domain = (domains or {}).get(name, "d")
         target = helper.target_info(name, domain=domain)
-        found.learn(helper.info(f"p-{name}", targets=(target,)))
+        found.update_process(helper.info(f"p-{name}", targets=(target,)))
     return found
 
 
-def alone_with_reserve(reserve: float) -> chooser.Chooser:
+def alone_with_reserve(reserve: float) -> load_balancer.LoadBalancer:
     """The only process, with a budget of repeats that is all reserve."""
-    found = chooser.Chooser(
+    found = load_balancer.LoadBalancer(
         "p",
         "d",
         random.Random(1),
         policy.BUILT_IN.program,
-        chooser.BudgetBounds(0.0, 10.0, reserve, calls=1.0),
+        load_balancer.RetryBudgetLimits(0.0, 10.0, reserve, calls=1.0),
     )
-    found.processes = 1
+    found.process_count = 1
     return found
 
 
@@ -52,40 +52,42 @@
     return messages.Load(running, 0, 4, state, version, 0.1, idle, risk)
 
 
-def wish(**changes) -> chooser.Wish:
-    return chooser.Wish(**{"service": "s", "repeatable": False, **changes})
+def requirements(**changes) -> load_balancer.Requirements:
+    return load_balancer.Requirements(
+        **{"service": "s", "repeatable": False, **changes}
+    )
 
 
 def picks(found, asked, count=50, now=10.0) -> set[str]:
     picked = set()
     for _ in range(count):
-        choice = found.choose(asked, frozenset(), now)
-        if choice is not None:
-            picked.add(choice.target)
-            found.ended("s", choice, None, now)
+        selection = found.select(asked, frozenset(), now)
+        if selection is not None:
+            picked.add(selection.target)
+            found.finish_attempt("s", selection, None, now)
     return picked
 
 
 def test_work_that_must_not_repeat_goes_to_nobody_who_is_doubted():
     found = made("a", "b")
-    found.report("a", load(State.SUSPECT), 10.0)
-    assert picks(found, wish()) == {"b"}
-    found.report("b", load(State.SUSPECT), 10.0)
-    assert picks(found, wish()) == set()
+    found.update_load("a", load(State.SUSPECT), 10.0)
+    assert picks(found, requirements()) == {"b"}
+    found.update_load("b", load(State.SUSPECT), 10.0)
+    assert picks(found, requirements()) == set()
     # Not even where there is no other: most of its requests fail.
-    insisting = wish(insist=admission.Insist.ANY)
+    insisting = requirements(insist=admission.Insist.ANY)
     assert picks(found, insisting) == set()
-    repeatable = wish(insist=admission.Insist.ANY, repeatable=True)
+    repeatable = requirements(insist=admission.Insist.ANY, repeatable=True)
     assert picks(found, repeatable) == {"a", "b"}
-    found.report("a", load(State.SUSPECT, risk=0.4), 10.0)
+    found.update_load("a", load(State.SUSPECT, risk=0.4), 10.0)
     assert picks(found, insisting) == set()
 
 
 def test_how_targets_stand_is_told_as_this_entry_sees_it():
     found = made("a", "b", "c", "d")
-    found.report("a", load(State.SUSPECT), 10.0)
-    found.report("b", load(running=4), 10.0)
-    found.paths.path_failed("p-c", "silent", 10.0)
+    found.update_load("a", load(State.SUSPECT), 10.0)
+    found.update_load("b", load(running=4), 10.0)
+    found.reachability.mark_unreachable("p-c", "silent", 10.0)
     assert found.count_by_state("s", 10.0) == {
         "suspect": 1,
         "full": 1,
@@ -96,34 +98,40 @@
 
 def test_a_doubted_target_draws_nothing_while_sound_ones_are_busy():
     found = made("a", "b")
-    found.report("a", load(State.SUSPECT), 10.0)
-    asked = wish(insist=admission.Insist.ANY, wait=True)
+    found.update_load("a", load(State.SUSPECT), 10.0)
+    asked = requirements(insist=admission.Insist.ANY, wait=True)
     busy = frozenset({"b"})
-    assert found.choose(asked, frozenset(), 10.0, busy) is None
-    last = wish(insist=admission.Insist.ANY, wait=True, repeatable=True)
-    assert found.choose(last, busy, 10.0).target == "a"
+    assert found.select(asked, frozenset(), 10.0, busy) is None
+    last = requirements(insist=admission.Insist.ANY, wait=True, repeatable=True)
+    assert found.select(last, busy, 10.0).target == "a"
 
 
 def test_a_doubted_target_that_mostly_does_well_is_better_than_waiting():
     found = made("a", "b")
-    found.report("a", load(State.SUSPECT, risk=0.4), 10.0)
-    asked = wish(insist=admission.Insist.ANY, wait=True, repeatable=True)
+    found.update_load("a", load(State.SUSPECT, risk=0.4), 10.0)
+    asked = requirements(
+        insist=admission.Insist.ANY, wait=True, repeatable=True
+    )
     busy = frozenset({"b"})
     asked = dataclasses.replace(asked, scout=False)
-    assert found.choose(asked, frozenset(), 10.0, busy).target == "a"
-    assert found.choose(wish(wait=True), frozenset(), 10.0, busy) is None
+    assert found.select(asked, frozenset(), 10.0, busy).target == "a"
+    assert (
+        found.select(requirements(wait=True), frozenset(), 10.0, busy) is None
+    )
 
 
 def test_repeatable_work_tests_doubted_targets_now_and_then():
     found = made("a", "b")
-    found.report("a", load(State.SUSPECT), 10.0)
+    found.update_load("a", load(State.SUSPECT), 10.0)
     tests = 0
     for step in range(200):
         now = 10.0 + step * 0.01
-        choice = found.choose(wish(repeatable=True), frozenset(), now)
-        tests += choice.target == "a"
-        found.ended("s", choice, None, now)
-    assert 1 <= tests <= 2.0 / chooser.SCOUT_GAP + 1
+        selection = found.select(
+            requirements(repeatable=True), frozenset(), now
+        )
+        tests += selection.target == "a"
+        found.finish_attempt("s", selection, None, now)
+    assert 1 <= tests <= 2.0 / load_balancer.PROBE_INTERVAL + 1
 
 
 def test_the_target_beside_is_never_left_without_work():
@@ -135,38 +143,38 @@
         for step in range(400):
             now = 10.0 + step * 0.1
             if troubled:
-                found.failed("s", now)
+                found.record_failure("s", now)
             # What its gate tells this entry ten times a second.
             idle = load(idle=now - used_at, risk=health.UNKNOWN)
-            found.report("c", idle, now)
+            found.update_load("c", idle, now)
             for other in ("a", "b"):
-                found.report(other, load(), now)
-            choice = found.choose(asked, frozenset(), now)
-            found.ended("s", choice, None, now)
-            if choice.target == "c":
-                proven = choice.insist is admission.Insist.PROVEN
+                found.update_load(other, load(), now)
+            selection = found.select(asked, frozenset(), now)
+            found.finish_attempt("s", selection, None, now)
+            if selection.target == "c":
+                proven = selection.insist is admission.Insist.PROVEN
                 assert asked.repeatable or not proven
                 longest = max(longest, now - used_at)
                 used_at = now
         return max(longest, now - used_at)
 
     for troubled in (False, True):
-        assert longest_pause(wish(repeatable=True), troubled) < 1.0
-    assert longest_pause(wish(), troubled=True) < 1.6
+        assert longest_pause(requirements(repeatable=True), troubled) < 1.0
+    assert longest_pause(requirements(), troubled=True) < 1.6
 
 
 def test_work_that_must_not_repeat_is_no_test_while_all_goes_well():
     found = made("a", "b", process="p-b")
-    found.report("a", load(), 10.0)
-    found.report("b", load(idle=5.0, risk=health.UNKNOWN), 10.0)
+    found.update_load("a", load(), 10.0)
+    found.update_load("b", load(idle=5.0, risk=health.UNKNOWN), 10.0)
     for step in range(20):
-        found.request("s", 8.0 + step * 0.1)
-    assert picks(found, wish()) == {"a"}
-    found.failed("s", 9.0)
-    assert picks(found, wish()) == {"a"}
-    found.failed("s", 9.5)
-    found.failed("s", 9.6)
-    assert picks(found, wish()) == {"b"}
+        found.record_request("s", 8.0 + step * 0.1)
+    assert picks(found, requirements()) == {"a"}
+    found.record_failure("s", 9.0)
+    assert picks(found, requirements()) == {"a"}
+    found.record_failure("s", 9.5)
+    found.record_failure("s", 9.6)
+    assert picks(found, requirements()) == {"b"}
 
 
 def in_use(seed: int, failing: float) -> tuple[float, float]:
@@ -182,22 +190,24 @@
     while now < 610.0:
         now += rng.expovariate(1.0)
         count += 1
-        found.request("s", now)
+        found.record_request("s", now)
         idle = load(idle=now - used[-1], risk=health.UNKNOWN)
-        found.report("c", idle, now)
+        found.update_load("c", idle, now)
         for other in ("a", "b"):
-            found.report(other, load(), now)
-        choice = found.choose(wish(), frozenset(), now)
+            found.update_load(other, load(), now)
+        selection = found.select(requirements(), frozenset(), now)
         # Others see the same, each by a few requests of its own.
         told = sum(rng.random() < failing for _ in range(5)) * 20
         answer = msgspec.structs.replace(load(), failing=told)
-        found.ended("s", choice, answer, now)
-        if choice.target == "c":
+        found.finish_attempt("s", selection, answer, now)
+        if selection.target == "c":
             used.append(now)
         if rng.random() < failing:
-            found.failed("s", now)
+            found.record_failure("s", now)
     spans = itertools.pairwise([*used, now])
-    watched = sum(min(chooser.FLOOR_WINDOW, b - a) for a, b in spans)
+    watched = sum(
+        min(load_balancer.CAPACITY_FLOOR_WINDOW, b - a) for a, b in spans
+    )
     return watched / (now - 10.0), len(used) / count
 
 
@@ -209,15 +219,15 @@
     """
     found = made("a", "b", "c")
     for name in ("a", "b"):
-        found.report(name, load(risk=0.03), 10.0)
+        found.update_load(name, load(risk=0.03), 10.0)
     asked = load(idle=1.3, risk=health.UNKNOWN)
-    found.report("c", asked, 10.0)
-    may_repeat = wish(repeatable=True)
+    found.update_load("c", asked, 10.0)
+    may_repeat = requirements(repeatable=True)
     assert "c" not in picks(found, may_repeat)
-    found.idle("c", asked, 10.0)
-    assert "c" not in picks(found, wish())
-    choice = found.choose(may_repeat, frozenset(), 10.0)
-    assert choice.target == "c"
+    found.record_work_request("c", asked, 10.0)
+    assert "c" not in picks(found, requirements())
+    selection = found.select(may_repeat, frozenset(), 10.0)
+    assert selection.target == "c"
     # It asked for one.
     assert "c" not in picks(found, may_repeat)
 
@@ -225,9 +235,9 @@
 def test_a_target_that_asks_and_is_full_or_unknown_gets_nothing():
     found = made("a", "c")
     full = load(running=4, idle=1.3)
-    found.idle("c", full, 10.0)
-    found.idle("nobody", full, 10.0)
-    assert picks(found, wish(repeatable=True)) == {"a"}
+    found.record_work_request("c", full, 10.0)
+    found.record_work_request("nobody", full, 10.0)
+    assert picks(found, requirements(repeatable=True)) == {"a"}
 
 
 def test_an_entry_that_sees_few_requests_keeps_its_target_in_use():
@@ -248,18 +258,20 @@
 def test_a_target_that_never_had_work_gets_the_first_request_beside_it():
     """At a start nothing is known of the others either."""
     found = made("a", "b", process="p-b")
-    found.report("b", load(idle=admission.NEVER, risk=health.UNKNOWN), 10.0)
-    found.report("a", load(), 10.0)
-    choice = found.choose(wish(), frozenset(), 10.0)
-    assert (choice.target, choice.insist) == ("b", admission.Insist.SOUND)
+    found.update_load(
+        "b", load(idle=admission.NEVER, risk=health.UNKNOWN), 10.0
+    )
+    found.update_load("a", load(), 10.0)
+    selection = found.select(requirements(), frozenset(), 10.0)
+    assert (selection.target, selection.insist) == ("b", admission.Insist.SOUND)
 
 
 def test_a_repeat_also_charges_the_services_that_its_run_may_call():
     """Calls of a repeated run are repeats at the service that is called."""
     found = alone_with_reserve(20.0)
-    found.request("called", 0.0)
-    spent = sum(found.spend("caller", 1.0) for _ in range(10))
-    left = sum(found.spend("called", 2.0) for _ in range(100))
+    found.record_request("called", 0.0)
+    spent = sum(found.spend_retry("caller", 1.0) for _ in range(10))
+    left = sum(found.spend_retry("called", 2.0) for _ in range(100))
     assert spent == 10
     assert spent + left <= 20
 
@@ -269,88 +281,95 @@
     them to all services left two thirds of the budget unused."""
     found = alone_with_reserve(20.0)
     found.least_aim_by_service = {"called": 0.4, "caller": 1.5}
-    found.request("caller", 0.0)
-    assert sum(found.spend("called", 1.0, aim=0.4) for _ in range(30)) == 18
-    assert sum(found.spend("caller", 1.0, aim=1.5) for _ in range(30)) == 18
+    found.record_request("caller", 0.0)
+    assert (
+        sum(found.spend_retry("called", 1.0, aim=0.4) for _ in range(30)) == 18
+    )
+    assert (
+        sum(found.spend_retry("caller", 1.0, aim=1.5) for _ in range(30)) == 18
+    )
     # The other way round the calls count.
     later = 20.0
-    assert sum(found.spend("caller", later, aim=1.5) for _ in range(30)) == 18
-    assert not found.spend("called", later + 1, aim=0.4)
+    assert (
+        sum(found.spend_retry("caller", later, aim=1.5) for _ in range(30))
+        == 18
+    )
+    assert not found.spend_retry("called", later + 1, aim=0.4)
 
 
 def test_a_repeat_tests_nobody():
     found = made("a", "b")
-    found.report("a", load(State.SUSPECT), 10.0)
-    assert picks(found, wish(repeatable=True, scout=False)) == {"b"}
+    found.update_load("a", load(State.SUSPECT), 10.0)
+    assert picks(found, requirements(repeatable=True, scout=False)) == {"b"}
 
 
 def test_shedding_targets_come_after_sound_ones_but_are_used():
     found = made("a", "b")
-    found.report("a", load(State.SHEDDING), 10.0)
-    assert picks(found, wish()) == {"b"}
-    found.report("b", load(State.SHEDDING), 10.0)
-    assert picks(found, wish())
+    found.update_load("a", load(State.SHEDDING), 10.0)
+    assert picks(found, requirements()) == {"b"}
+    found.update_load("b", load(State.SHEDDING), 10.0)
+    assert picks(found, requirements())
 
 
 def test_that_a_target_refused_once_is_forgotten_within_a_second():
     """Its guard tells only those that send to it, which nobody would."""
     found = made("a", "b")
-    found.report("a", load(State.SHEDDING), 10.0)
-    assert picks(found, wish()) == {"b"}
+    found.update_load("a", load(State.SHEDDING), 10.0)
+    assert picks(found, requirements()) == {"b"}
     later = 10.0 + health.SHED_FOR
-    found.report("b", load(running=3), later)
-    assert picks(found, wish(), now=later) == {"a"}
+    found.update_load("b", load(running=3), later)
+    assert picks(found, requirements(), now=later) == {"a"}
 
 
 def test_near_targets_go_first_until_they_are_full():
     found = made("a", "b", domains={"b": "far"})
-    assert picks(found, wish()) == {"a"}
-    found.report("a", load(running=4), 10.0)
-    assert picks(found, wish()) == {"b"}
+    assert picks(found, requirements()) == {"a"}
+    found.update_load("a", load(running=4), 10.0)
+    assert picks(found, requirements()) == {"b"}
 
 
 def test_distance_counts_by_what_is_carried_risk_by_what_is_lost():
     """Bytes between failure domains are dear; a lost request is dearer."""
     found = made("a", "b", domains={"b": "far"})
-    found.report("a", load(risk=0.3), 10.0)
-    found.report("b", load(risk=0.05), 10.0)
-    assert picks(found, wish(kilobytes=0.5)) == {"b"}
-    assert picks(found, wish(kilobytes=12.0)) == {"a"}
+    found.update_load("a", load(risk=0.3), 10.0)
+    found.update_load("b", load(risk=0.05), 10.0)
+    assert picks(found, requirements(kilobytes=0.5)) == {"b"}
+    assert picks(found, requirements(kilobytes=12.0)) == {"a"}
     # One more try is cheaper than to carry it far.
-    again = wish(kilobytes=3.0, repeatable=True, scout=False)
+    again = requirements(kilobytes=3.0, repeatable=True, scout=False)
     assert picks(found, again) == {"a"}
 
 
 def test_nobody_is_picked_twice_where_tried():
     found = made("a", "b")
-    choice = found.choose(wish(), frozenset({"a"}), 10.0)
-    assert choice.target == "b"
-    assert found.choose(wish(), frozenset({"a", "b"}), 10.0) is None
+    selection = found.select(requirements(), frozenset({"a"}), 10.0)
+    assert selection.target == "b"
+    assert found.select(requirements(), frozenset({"a", "b"}), 10.0) is None
 
 
 def test_a_leaving_target_stays_left_whatever_late_news_says():
     found = made("a")
     gone = helper.target_info("a", state=State.DRAINING)
-    found.learn(helper.info("p-a", targets=(gone,)))
-    found.report("a", load(version=9), 10.0)
-    assert picks(found, wish()) == set()
+    found.update_process(helper.info("p-a", targets=(gone,)))
+    found.update_load("a", load(version=9), 10.0)
+    assert picks(found, requirements()) == set()
 
 
 def test_a_target_is_back_with_the_next_run_of_its_process():
     found = made("a")
     paused = helper.target_info("a", state=State.PAUSED)
-    found.learn(helper.info("p-a", targets=(paused,)))
-    assert picks(found, wish()) == set()
+    found.update_process(helper.info("p-a", targets=(paused,)))
+    assert picks(found, requirements()) == set()
     back = helper.target_info("a")
-    found.learn(helper.info("p-a", targets=(back,), boot=99))
-    assert picks(found, wish()) == {"a"}
+    found.update_process(helper.info("p-a", targets=(back,), boot=99))
+    assert picks(found, requirements()) == {"a"}
 
 
 def test_an_avoided_path_is_not_taken():
     found = made("a", "b")
-    found.paths.path_failed("p-a", "silent", 10.0)
-    assert picks(found, wish()) == {"b"}
-    assert found.paths.heard("p-a")
-    assert "a" in picks(found, wish(), 200) | picks(
-        found, wish(repeatable=True), 200
+    found.reachability.mark_unreachable("p-a", "silent", 10.0)
+    assert picks(found, requirements()) == {"b"}
+    assert found.reachability.record_reply("p-a")
+    assert "a" in picks(found, requirements(), 200) | picks(
+        found, requirements(repeatable=True), 200
     )
--- a/test/test_neighbours.py
+++ b/test/test_neighbours.py
@@ -5,9 +5,9 @@
 import zlib
 
 from forklift import catalog
-from forklift import chooser
 from forklift import dissemination
 from forklift import gossip
+from forklift import load_balancer
 from forklift import membership
 from forklift import messages
 from forklift import policy
@@ -25,13 +25,15 @@
         self.in_force = catalog.InForce()
         self.sent: list[messages.Control] = []
         rng = random.Random(1)
-        bounds = chooser.BudgetBounds()
+        bounds = load_balancer.RetryBudgetLimits()
         self.neighbours = neighbours.Neighbours(
             helper.info("own"),
             rng,
             self.clock,
             self.in_force,
-            chooser.Chooser("own", "d", rng, policy.BUILT_IN.program, bounds),
+            load_balancer.LoadBalancer(
+                "own", "d", rng, policy.BUILT_IN.program, bounds
+            ),
             types.SimpleNamespace(site_by_target={}),
             lambda address, message, renew: self.sent.append(message),
             lambda record, source: None,
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -9,12 +9,12 @@
 import pytest
 
 from forklift import announcement
-from forklift import chooser
 from forklift import dialect
+from forklift import load_balancer
 from forklift import messages
 from forklift import policy
+from forklift import retries
 from forklift import settings
-from forklift import walk
 from forklift.platform import store as adapter
 from forklift.shell import client
 from forklift.shell import forward
@@ -186,7 +186,9 @@
 
 def test_the_budget_bounds_repeats():
     async def work(fleet):
-        fleet.proxies[0].chooser.bound(chooser.BudgetBounds(0.0, 1000.0, 3.0))
+        fleet.proxies[0].balancer.set_retry_limits(
+            load_balancer.RetryBudgetLimits(0.0, 1000.0, 3.0)
+        )
         for _ in range(8):
             assert (await fleet.ask()).status == 500
         # Of the three that two processes share, 0.9 of this one's half.
@@ -201,12 +203,16 @@
     async def work(fleet):
         one = fleet.proxies[0]
         # One repeat for each service, and none where another's run may call.
-        one.chooser.bound(chooser.BudgetBounds(0.0, 1000.0, 4.0, 1.0))
+        one.balancer.set_retry_limits(
+            load_balancer.RetryBudgetLimits(0.0, 1000.0, 4.0, 1.0)
+        )
         for service in ("s", "caller"):
-            one.chooser.request(service, one.clock.monotonic())
+            one.balancer.record_request(service, one.clock.monotonic())
         assert (await fleet.ask()).status == 500
         assert fleet.runs() == 2
-        assert one.chooser.spend("caller", one.clock.monotonic(), aim=1.5)
+        assert one.balancer.spend_retry(
+            "caller", one.clock.monotonic(), aim=1.5
+        )
 
     first = processes.record(
         1,
@@ -281,9 +287,9 @@
         await new.start()
         # News is taken over, and still nobody else is known.
         new.neighbours.tick(new.clock.monotonic())
-        assert new.chooser.processes == 0
+        assert new.balancer.process_count == 0
         fleet.store.away = False
-        await helper.until(lambda: new.chooser.processes == 4)
+        await helper.until(lambda: new.balancer.process_count == 4)
 
     processes.play(work, [[], [], []])
 
@@ -323,7 +329,9 @@
         told = {come_back(answer) for answer in answers}
         assert len(told) == len(answers)
         assert min(told) >= forward.RETRY_AFTER
-        assert max(told) <= forward.RETRY_AFTER * (1 + walk.COME_BACK_SPREAD)
+        assert max(told) <= forward.RETRY_AFTER * (
+            1 + retries.RETRY_AFTER_JITTER
+        )
 
     def come_back(answer: client.Response) -> float:
         (value,) = (v for n, v in answer.headers if n == b"retry-after")
@@ -351,7 +359,7 @@
     shared = list(entries)
     for target in fleet.targets:
         target.script = shared
-    helper.takes(fleet.proxies[0].chooser.latencies.of("r", 1.0), 0.02)
+    helper.takes(fleet.proxies[0].balancer.latencies.of("r", 1.0), 0.02)
 
 
 def test_a_slow_request_that_may_repeat_is_also_sent_to_a_second_target():
@@ -438,8 +446,8 @@
 
 def test_a_second_attempt_is_taken_from_the_budget():
     async def work(fleet):
-        bounds = chooser.BudgetBounds(0.0, 10.0, 0.0)
-        fleet.proxies[0].chooser.bound(bounds)
+        bounds = load_balancer.RetryBudgetLimits(0.0, 10.0, 0.0)
+        fleet.proxies[0].balancer.set_retry_limits(bounds)
         share_script(fleet, "hold")
         assert (await fleet.ask()).status == 504
         assert fleet.proxies[0].forwarder.hedges == 0
@@ -465,9 +473,9 @@
 def test_an_entry_is_told_of_the_target_beside_without_a_request():
     async def work(fleet):
         one = fleet.proxies[0]
-        (view,) = [v for v in one.chooser.views("s") if v.process == "p0"]
+        (view,) = [v for v in one.balancer.views("s") if v.process == "p0"]
         await helper.until(
-            lambda: math.isfinite(view.idle(one.clock.monotonic()))
+            lambda: math.isfinite(view.idle_seconds(one.clock.monotonic()))
         )
         assert fleet.runs() == 0
 
@@ -555,13 +563,15 @@
             lambda: (
                 sum(
                     view.state(0.0) is State.IN_SERVICE
-                    for view in entry.chooser.views("s")
+                    for view in entry.balancer.views("s")
                 )
                 == 1
             )
         )
         asked = asyncio.create_task(fleet.ask(0))
-        await helper.until(lambda: not entry.chooser.paths.usable("p1"))
+        await helper.until(
+            lambda: not entry.balancer.reachability.is_reachable("p1")
+        )
         fences = fleet.proxies[1].beside.fences
         await helper.until(lambda: len(fences) == 1)
         # Proven not to run there, it goes to another one in time.
@@ -674,7 +684,7 @@
         old = fleet.proxies.pop(0)
         old.announced.left(announcement.Life("t0"))
         other = fleet.proxies[0]
-        await helper.until(lambda: len(other.chooser.views("s")) == 1)
+        await helper.until(lambda: len(other.balancer.views("s")) == 1)
         fixed = dataclasses.replace(
             old.settings.process,
             peer=old.directory.own.peer,
@@ -719,7 +729,7 @@
     def picked(one: proxy.Proxy) -> list[str]:
         return [
             view.name
-            for view in one.chooser.views("s")
+            for view in one.balancer.views("s")
             if view.state(one.clock.monotonic()) is State.IN_SERVICE
         ]
 
@@ -758,9 +768,11 @@
             (messages.TargetInfo("t8", "s", "d", 4, State.IN_SERVICE, 1),),
             1,
         )  # fmt: skip
-        one.chooser.learn(info)
+        one.balancer.update_process(info)
         asked = asyncio.create_task(fleet.ask())
-        await helper.until(lambda: not one.chooser.paths.usable("ghost"))
+        await helper.until(
+            lambda: not one.balancer.reachability.is_reachable("ghost")
+        )
         sends = one.forwarder.sends
         for _ in range(200):
             await asyncio.sleep(0)
@@ -776,14 +788,14 @@
 
     async def work(fleet):
         asked = []
-        other = fleet.proxies[1].chooser
-        note = other.idle
+        other = fleet.proxies[1].balancer
+        note = other.record_work_request
 
         def heard(target, load, now):
             asked.append((target, load.idle > proxy.IDLE_FOR))
             note(target, load, now)
 
-        other.idle = heard
+        other.record_work_request = heard
         await helper.until(lambda: asked)
         assert set(asked) == {("t0", True)}
         fleet.targets[0].received.clear()
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -7,8 +7,8 @@
 import pytest
 
 from forklift import announcement
-from forklift import chooser
 from forklift import dialect
+from forklift import load_balancer
 from forklift import membership
 from forklift import messages
 from forklift import policy
@@ -30,7 +30,7 @@
     """All processes know these targets and no other."""
     await helper.until(
         lambda: all(
-            {view.name for view in one.chooser.views("s")} == set(names)
+            {view.name for view in one.balancer.views("s")} == set(names)
             for one in fleet.proxies
         )
     )
@@ -168,7 +168,7 @@
         fleet.targets[0].release.set()
         assert (await asked).status == 200
         # A request that was sent before its sender heard of the name.
-        for view in one.chooser.views("s"):
+        for view in one.balancer.views("s"):
             view.name = "t0"
         assert (await fleet.ask()).status == 200
 
@@ -221,32 +221,32 @@
         news.reverse()
     for one in news:
         directory.apply(messages.Rumor(messages.Liveness.ALIVE, one), 0.0)
-    found = _chooser()
+    found = _balancer()
     for _, known in directory.take_changes():
-        found.learn(known)
+        found.update_process(known)
     assert [view.name for view in found.views("s")] == [NEW.name]
 
 
 def test_a_late_refusal_of_the_life_before_says_nothing_of_the_one_after():
-    entry = _chooser()
-    entry.learn(info(1, OLD.name))
-    wish = chooser.Wish("s", repeatable=True)
-    choice = entry.choose(wish, frozenset(), 0.0)
-    entry.learn(info(2, NEW.name))
+    entry = _balancer()
+    entry.update_process(info(1, OLD.name))
+    requirements = load_balancer.Requirements("s", repeatable=True)
+    selection = entry.select(requirements, frozenset(), 0.0)
+    entry.update_process(info(2, NEW.name))
     late = messages.Load(4, 9, 4, State.SUSPECT, 90, 0.0, risk=0.9)
-    entry.ended("s", choice, late, 1.0)
-    entry.report(OLD.name, late, 1.0)
+    entry.finish_attempt("s", selection, late, 1.0)
+    entry.update_load(OLD.name, late, 1.0)
     (view,) = entry.views("s")
     assert (view.name, view.in_flight) == (NEW.name, 0)
     assert view.state(1.0) is State.IN_SERVICE
     assert view.load(1.0) == 0
 
 
-def _chooser() -> chooser.Chooser:
-    return chooser.Chooser(
+def _balancer() -> load_balancer.LoadBalancer:
+    return load_balancer.LoadBalancer(
         "own",
         "d",
         random.Random(1),
         policy.BUILT_IN.program,
-        chooser.BudgetBounds(),
+        load_balancer.RetryBudgetLimits(),
     )
--- a/test/test_silence.py
+++ b/test/test_silence.py
@@ -42,7 +42,7 @@
     ),
     "a request leaves a path that fell silent": (
         # One tick notes that a sign is due, another that it did not come.
-        paths.SILENCE + 2 * TICK + WAY,
+        paths.REPLY_TIMEOUT + 2 * TICK + WAY,
         0.8,
     ),
     "a silent control connection is opened anew": (
@@ -54,7 +54,7 @@
 
 def test_two_signs_may_be_missing_before_a_path_is_given_up():
     """A peer gives them with its ticks, and a tick may be late by one."""
-    assert paths.SILENCE >= 2 * proxy.BEAT_PERIOD + ticking.TICK - 1e-9
+    assert paths.REPLY_TIMEOUT >= 2 * proxy.BEAT_PERIOD + ticking.TICK - 1e-9
 
 
 @pytest.mark.parametrize("promise", SUM_BY_PROMISE)
