--- a/forklift/allocator.py
+++ b/forklift/allocator.py
@@ -19,26 +19,26 @@
 
 # Seconds between two votes of a process, and for which each lends its share: so
 # many that some lost ones in a row take nothing away.
-PERIOD = 1.0
-LASTS = 5.0
+DELEGATION_PERIOD = 1.0
+DELEGATION_SECONDS = 5.0
 # Seconds for which a part holds: it ends before what it was granted from does,
 # though two votes in a row are lost.
-VALID = 2.5
+LEASE_SECONDS = 2.5
 # Share of a limit that is dealt out in parts. The rest answers who asks: what
 # is left of a part where nobody calls just then helps no other.
-DEALT = 0.5
+LEASABLE_FRACTION = 0.5
 # Longest wait that is told to who asks, seconds.
-WAIT_MOST = 10.0
+MAX_RETRY_AFTER = 10.0
 # A rise of what it was lent beyond this begins with no tokens stored: those
 # before it may have been spent by another allocator.
-RISE = 0.1
+CAPACITY_RISE = 0.1
 # Seconds after which tokens of an organisation that nobody asks for are
 # forgotten; they would be full again by then.
 FORGET_AFTER = 60.0
 # Seconds that a handover may take; what it lends ends earlier by so much.
-HANDOVER_TAKES = 0.25
+HANDOVER_SECONDS = 0.25
 
-LimitOf = Callable[[str], organisations.Organisation | None]
+FindOrganisation = Callable[[str], organisations.Organisation | None]
 
 
 @dataclasses.dataclass
@@ -62,7 +62,7 @@
 class _Voter:
     """What is known of a process that votes here."""
 
-    voter: messages.Voter
+    voter: messages.ProcessRun
     weight: float = 0.0
     # From when to when its share counts here.
     counted_from: float = math.inf
@@ -103,16 +103,16 @@
     """Tokens of one organisation that are granted one by one."""
 
     def __init__(self, since: float):
-        self.bucket = rate_limits.Bucket(since)
+        self.bucket = rate_limits.TokenBucket(since)
         self.free: float | None = None
         self.used_at = since
 
-    def earn(
+    def refill(
         self, now: float, free: float, rate: float, depth: float
-    ) -> rate_limits.Bucket:
+    ) -> rate_limits.TokenBucket:
         """Time passed, in which at least the lesser part was free."""
         earning = free if self.free is None else min(free, self.free)
-        self.bucket.earn(now, rate * earning, depth * free)
+        self.bucket.refill(now, rate * earning, depth * free)
         self.free, self.used_at = free, now
         return self.bucket
 
@@ -122,10 +122,10 @@
 
     def __init__(
         self,
-        own: messages.Voter,
+        own: messages.ProcessRun,
         shard: int,
         bounds: rate_limits.Bounds,
-        limit_of: LimitOf,
+        find_organisation: FindOrganisation,
         expected: Callable[[float], Iterable[str]],
         now: float,
     ):
@@ -135,14 +135,14 @@
             own: This process.
             shard: Number of the shard.
             bounds: What may be run beyond limits.
-            limit_of: Finds an organisation by its name.
+            find_organisation: Finds an organisation by its name.
             expected: Names of the processes that may vote or hold parts now.
             now: Monotonic seconds.
         """
         self._own = own
         self._shard = shard
         self._bounds = bounds
-        self._limit_of = limit_of
+        self._limit_of = find_organisation
         self._expected = expected
         self._voter_by_name: dict[str, _Voter] = {}
         self._names_by_organisation: dict[str, set[str]] = {}
@@ -161,12 +161,12 @@
         complete = self._complete(now)
         lent = 0.0
         for one in self._voter_by_name.values():
-            if one.expires < now + VALID:
+            if one.expires < now + LEASE_SECONDS:
                 continue
             if one.counted_from <= now or (complete and one.ours):
                 lent += one.weight
         lent = min(1.0, lent)
-        if lent > self._steady + RISE:
+        if lent > self._steady + CAPACITY_RISE:
             self._since, self._steady = now, lent
         self._steady = min(self._steady, lent)
         return lent
@@ -178,14 +178,14 @@
         """
         for name in self._expected(now):
             known = self._voter_by_name.get(name)
-            if known is None or now - known.heard_at > LASTS:
+            if known is None or now - known.heard_at > DELEGATION_SECONDS:
                 return False
             if known.counted_from > now and not known.ours:
                 return False
         return True
 
-    def hear(
-        self, vote: messages.Vote, now: float
+    def receive_delegation(
+        self, vote: messages.Delegation, now: float
     ) -> messages.Allocation | None:
         """A process votes; None for a vote that is late."""
         known = self._voter_by_name.get(vote.sender.name)
@@ -194,25 +194,31 @@
             self._drop(vote.sender.name)
             known = _Voter(vote.sender)
             self._voter_by_name[vote.sender.name] = known
-        if vote.number <= known.heard:
+        if vote.sequence <= known.heard:
             return None
         known.voter = vote.sender
-        known.heard, known.heard_at = vote.number, now
+        known.heard, known.heard_at = vote.sequence, now
         self._count(known, vote, now)
         self._note_demands(known, vote.demands)
         return self._allocate(known, vote, now)
 
-    def _count(self, known: _Voter, vote: messages.Vote, now: float) -> None:
-        known.ours = all(name == self._own.name for name, _ in vote.earlier)
-        handed = all(boot in self._succeeds for _, boot in vote.earlier)
-        wait = 0.0 if handed else vote.free_in
+    def _count(
+        self, known: _Voter, vote: messages.Delegation, now: float
+    ) -> None:
+        known.ours = all(
+            name == self._own.name for name, _ in vote.previous_allocators
+        )
+        handed = all(
+            boot in self._succeeds for _, boot in vote.previous_allocators
+        )
+        wait = 0.0 if handed else vote.exclusive_in
         known.counted_from = now + wait
         if vote.echo_boot != self._own.boot:
             return
         echoed = known.echoed(vote.echo)
         if echoed is not None:
-            known.weight = vote.weight
-            known.expires = max(known.expires, echoed.at + vote.lasts)
+            known.weight = vote.share
+            known.expires = max(known.expires, echoed.at + vote.valid_for)
 
     def _note_demands(
         self, known: _Voter, demands: Iterable[messages.Demand]
@@ -235,7 +241,7 @@
     # What it grants.
 
     def _allocate(
-        self, known: _Voter, vote: messages.Vote, now: float
+        self, known: _Voter, vote: messages.Delegation, now: float
     ) -> messages.Allocation:
         lent = self.capacity(now)
         parts = {}
@@ -244,19 +250,21 @@
             if part:
                 parts[organisation] = part
         known.number += 1
-        known.sent.append(_Sent(known.number, now, now + VALID, parts))
+        known.sent.append(_Sent(known.number, now, now + LEASE_SECONDS, parts))
         for organisation in parts:
             self._users(organisation).add(known.voter.name)
         tokens = tuple(
-            self._tokens(one, lent, now) for one in vote.demands if one.asks
+            self._tokens(one, lent, now)
+            for one in vote.demands
+            if one.tokens_wanted
         )
         return messages.Allocation(
             self._own,
             self._shard,
             known.number,
-            vote.number,
-            VALID,
-            tuple(messages.Part(name, part) for name, part in parts.items()),
+            vote.sequence,
+            LEASE_SECONDS,
+            tuple(messages.Lease(name, part) for name, part in parts.items()),
             tokens,
             tuple(self._succeeds),
         )
@@ -269,7 +277,7 @@
         if limit is None or not limit.limited:
             return 0.0
         depth = self._bounds.depth(limit.rate, limit.burst)
-        dealt = DEALT * lent
+        dealt = LEASABLE_FRACTION * lent
         wanted = self._wanted(known, organisation, limit, depth)
         all_wanted = sum(
             self._wanted(self._voter_by_name[name], organisation, limit, depth)
@@ -302,30 +310,32 @@
 
     def _tokens(
         self, asked: messages.Demand, lent: float, now: float
-    ) -> messages.Tokens:
+    ) -> messages.TokenGrant:
         limit = self._limit_of(asked.organisation)
         if limit is None or not limit.limited:
-            return messages.Tokens(asked.organisation, asked.asks, 0.0)
+            return messages.TokenGrant(
+                asked.organisation, asked.tokens_wanted, 0.0
+            )
         depth = self._bounds.depth(limit.rate, limit.burst)
         free = max(0.0, lent - self._used(asked.organisation, now))
         store = self._store_by_organisation.get(asked.organisation)
         if store is None:
             store = _Store(self._since)
             self._store_by_organisation[asked.organisation] = store
-        bucket = store.earn(now, free, limit.rate, depth)
-        count = min(asked.asks, int(bucket.tokens))
+        bucket = store.refill(now, free, limit.rate, depth)
+        count = min(asked.tokens_wanted, int(bucket.tokens))
         bucket.tokens -= count
         wait = 0.0
-        if count < asked.asks:
-            wait = min(WAIT_MOST, bucket.wait(limit.rate * free))
-        return messages.Tokens(asked.organisation, count, round(wait, 3))
+        if count < asked.tokens_wanted:
+            wait = min(MAX_RETRY_AFTER, bucket.wait(limit.rate * free))
+        return messages.TokenGrant(asked.organisation, count, round(wait, 3))
 
     # Its life.
 
     def tick(self, now: float) -> None:
         """Forgets who and what was not heard of for long."""
         for name, known in list(self._voter_by_name.items()):
-            ended = max(known.heard_at + LASTS, known.expires)
+            ended = max(known.heard_at + DELEGATION_SECONDS, known.expires)
             if now > ended and all(one.until <= now for one in known.sent):
                 self._drop(name)
         for organisation, store in list(self._store_by_organisation.items()):
@@ -352,35 +362,37 @@
             self._own, to_boot, self._shard, succeeds, lent
         )
 
-    def _lent(self, known: _Voter, now: float) -> messages.Lent:
+    def _lent(self, known: _Voter, now: float) -> messages.HeldDelegation:
         names = {name for one in known.sent for name in one.parts}
         parts = {name: known.part(name, now) for name in names}
         until = max((one.until for one in known.sent), default=now)
         counts = known.counted_from <= now
-        return messages.Lent(
+        return messages.HeldDelegation(
             known.voter,
             known.weight if counts else 0.0,
             round(known.expires - now, 3),
-            tuple(messages.Part(*item) for item in parts.items() if item[1]),
+            tuple(messages.Lease(*item) for item in parts.items() if item[1]),
             round(max(0.0, until - now), 3),
         )
 
-    def adopt(self, given: messages.Handover, now: float) -> None:
+    def accept_handover(self, given: messages.Handover, now: float) -> None:
         """Another allocator gave up the shard, and grants nothing any more."""
-        for boot in given.succeeds:
-            self._succeeds[boot] = now + LASTS
-        for lent in given.lent:
-            known = self._voter_by_name.get(lent.voter.name)
+        for boot in given.supersedes:
+            self._succeeds[boot] = now + DELEGATION_SECONDS
+        for lent in given.delegations:
+            known = self._voter_by_name.get(lent.delegator.name)
             if known is None:
-                known = _Voter(lent.voter, lent.weight, now)
-                known.expires = now + lent.left - HANDOVER_TAKES
+                known = _Voter(lent.delegator, lent.share, now)
+                known.expires = now + lent.expires_in - HANDOVER_SECONDS
                 known.heard_at = now
-                self._voter_by_name[lent.voter.name] = known
-            if known.voter.boot == lent.voter.boot:
-                parts = {one.organisation: one.part for one in lent.parts}
-                known.sent.append(_Sent(0, now, now + lent.valid, parts))
+                self._voter_by_name[lent.delegator.name] = known
+            if known.voter.boot == lent.delegator.boot:
+                parts = {one.organisation: one.share for one in lent.leases}
+                known.sent.append(
+                    _Sent(0, now, now + lent.leases_valid_for, parts)
+                )
                 for organisation in parts:
-                    self._users(organisation).add(lent.voter.name)
+                    self._users(organisation).add(lent.delegator.name)
 
     def _drop(self, name: str) -> None:
         self._voter_by_name.pop(name, None)
--- a/forklift/fingerprint.py
+++ b/forklift/fingerprint.py
@@ -8,10 +8,10 @@
 
 # Long enough that nobody finds two contents of one fingerprint, and so can have
 # one request taken for another, bytes.
-SIZE = 16
+DIGEST_SIZE = 16
 
 
-def of(
+def compute(
     method: bytes,
     host: bytes,
     path: bytes,
@@ -29,16 +29,16 @@
         length: Length of the body, -1 when chunked and not known.
         body: The body; of a large one its beginning, always as much.
 
-    >>> of(b"GET", b"h", b"/a", (), 0, b"") == of(
+    >>> compute(b"GET", b"h", b"/a", (), 0, b"") == compute(
     ...     b"GET", b"h", b"/a", (), 0, b""
     ... )
     True
-    >>> of(b"GET", b"h", b"/a", (b"x",), 0, b"") == of(
+    >>> compute(b"GET", b"h", b"/a", (b"x",), 0, b"") == compute(
     ...     b"GET", b"h", b"/ax", (), 0, b""
     ... )
     False
     """
-    digest = hashlib.blake2b(digest_size=SIZE)
+    digest = hashlib.blake2b(digest_size=DIGEST_SIZE)
     size = str(length).encode()
     for part in (method, host.lower(), path, size, *caller):
         # The length keeps two parts from being read as others.
--- a/forklift/limit_messages.py
+++ b/forklift/limit_messages.py
@@ -1,19 +1,19 @@
-"""What processes tell each other of the limits of organisations."""
+"""Messages by which processes share the rate limits of organisations."""
 
 import msgspec
 
 
 class _Wire(msgspec.Struct, frozen=True, array_like=True):
-    """Base of these messages and their parts."""
+    """Base class of these messages and of their parts."""
 
 
-class Voter(_Wire):
-    """A process that votes.
+class ProcessRun(_Wire):
+    """One run of a process.
 
     Attributes:
-        name: Its name.
+        name: Name of the process.
         control: Address of its control listener, "ip:port".
-        boot: Its run.
+        boot: Identifies the run.
     """
 
     name: str
@@ -22,129 +22,137 @@
 
 
 class Demand(_Wire):
-    """What a process needs of one organisation's limit.
+    """What a process needs of the limit of one organisation.
 
     Attributes:
-        organisation: Its name.
-        rate: Requests a second that came here of late.
-        asks: Tokens that requests wait for now.
+        organisation: Name of the organisation.
+        rate: Recent arrivals at this process, requests per second.
+        tokens_wanted: Number of requests that wait for a token now.
     """
 
     organisation: str
     rate: float
-    asks: int
+    tokens_wanted: int
 
 
-class Part(_Wire):
-    """The part of a limit that a process uses by itself.
+class Lease(_Wire):
+    """A share of a limit that one process may use without asking.
 
     Attributes:
-        organisation: Its name.
-        part: 0 to 1.
+        organisation: Name of the organisation.
+        share: Fraction of the limit, 0 to 1.
     """
 
     organisation: str
-    part: float
+    share: float
 
 
-class Tokens(_Wire):
-    """The answer to a process that asked for tokens.
+class TokenGrant(_Wire):
+    """The answer to a request for single tokens.
 
     Attributes:
-        organisation: Its name.
-        count: Tokens that it gets.
-        wait: Seconds until there are more, where it gets fewer.
+        organisation: Name of the organisation.
+        count: Number of tokens granted.
+        retry_after: Seconds until more are available; 0 if all were granted.
     """
 
     organisation: str
     count: int
-    wait: float
+    retry_after: float
 
 
-class Vote(_Wire, tag=60):
-    """Lends the sender's share of all limits of a shard to their allocator.
+class Delegation(_Wire, tag=60):
+    """Delegates the sender's share of all limits of a shard to an allocator.
+
+    Also reports the sender's demand and acknowledges the last allocation.
 
     Attributes:
-        sender: Who votes.
+        sender: The process that delegates its share.
         shard: Number of the shard.
-        number: Rises with each vote of the sender for this allocator.
-        echo: Number of the allocation that the sender goes by; 0 without any.
-        echo_boot: Run of the allocator that sent that.
-        lasts: Seconds for which the share is lent, from when the sender had
-            that allocation at the latest.
-        weight: The sender's share, 0 to 1; 0 where it does not know it.
-        earlier: Allocators that may count the share still, by name and run.
-        free_in: Seconds after which none of them does.
-        demands: Of organisations that the sender has requests of.
+        sequence: Increases with each delegation to this allocator.
+        echo: Sequence number of the last allocation that the sender received
+            from this allocator; 0 if there is none.
+        echo_boot: Run of the allocator that sent that allocation.
+        valid_for: Seconds for which the share is delegated, counted from when
+            the echoed allocation was sent.
+        share: The sender's share, 0 to 1; 0 if it does not know the size of
+            the fleet.
+        previous_allocators: Allocators that may still count the share, as name
+            and boot.
+        exclusive_in: Seconds until none of these counts it any more.
+        demands: Demand for each organisation with recent or waiting requests.
     """
 
-    sender: Voter
+    sender: ProcessRun
     shard: int
-    number: int
+    sequence: int
     echo: int
     echo_boot: int
-    lasts: float
-    weight: float
-    earlier: tuple[tuple[str, int], ...]
-    free_in: float
+    valid_for: float
+    share: float
+    previous_allocators: tuple[tuple[str, int], ...]
+    exclusive_in: float
     demands: tuple[Demand, ...]
 
 
 class Allocation(_Wire, tag=61):
-    """Answers a vote: which parts of limits the receiver uses by itself.
+    """Answers a delegation with leases and single tokens.
 
     Attributes:
         sender: The allocator.
         shard: Number of the shard.
-        number: Rises with each allocation to the receiver.
-        echo: Number of the vote that it answers.
-        valid: Seconds from the sending of that vote for which it holds.
-        parts: All that the receiver has of this allocator from now on.
-        tokens: Answers to what it asked for.
-        succeeds: Runs of allocators whose parts these take the place of.
+        sequence: Increases with each allocation to this receiver.
+        echo: Sequence number of the delegation that this answers.
+        valid_for: Seconds for which the leases hold, counted from when that
+            delegation was sent.
+        leases: All leases of the receiver; they replace earlier ones from this
+            allocator.
+        token_grants: Answers to the receiver's requests for tokens.
+        supersedes: Runs of allocators whose leases these replace.
     """
 
-    sender: Voter
+    sender: ProcessRun
     shard: int
-    number: int
+    sequence: int
     echo: int
-    valid: float
-    parts: tuple[Part, ...]
-    tokens: tuple[Tokens, ...]
-    succeeds: tuple[int, ...]
+    valid_for: float
+    leases: tuple[Lease, ...]
+    token_grants: tuple[TokenGrant, ...]
+    supersedes: tuple[int, ...]
 
 
-class Lent(_Wire):
-    """A vote that an allocator hands over.
+class HeldDelegation(_Wire):
+    """A delegation that one allocator hands over to another.
 
     Attributes:
-        voter: Who voted.
-        weight: The voter's share.
-        left: Seconds for which it is still lent.
-        parts: What the voter may use by itself.
-        valid: Seconds for which it may, at most.
+        delegator: The process that delegated its share.
+        share: The share that counts; 0 if it does not count yet.
+        expires_in: Seconds until the delegation expires.
+        leases: Leases that the delegator may still use.
+        leases_valid_for: Seconds until the last of these leases expires.
     """
 
-    voter: Voter
-    weight: float
-    left: float
-    parts: tuple[Part, ...]
-    valid: float
+    delegator: ProcessRun
+    share: float
+    expires_in: float
+    leases: tuple[Lease, ...]
+    leases_valid_for: float
 
 
 class Handover(_Wire, tag=62):
-    """An allocator gives a shard up to another one, and allocates no more.
+    """Transfers a shard to another allocator; the sender stops allocating.
 
     Attributes:
-        sender: The one that gives it up.
-        to_boot: Run of the receiver that it means.
+        sender: The allocator that gives up the shard.
+        to_boot: Run of the receiver for which the message is meant.
         shard: Number of the shard.
-        succeeds: Runs of allocators whose parts may be in use, its own too.
-        lent: All votes that it holds.
+        supersedes: Runs of allocators whose leases may still be in use,
+            including the sender.
+        delegations: All delegations that the sender holds.
     """
 
-    sender: Voter
+    sender: ProcessRun
     to_boot: int
     shard: int
-    succeeds: tuple[int, ...]
-    lent: tuple[Lent, ...]
+    supersedes: tuple[int, ...]
+    delegations: tuple[HeldDelegation, ...]
--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -633,7 +633,7 @@
     | CatalogRequest
     | Suspects
     | IdleTarget
-    | limit_messages.Vote
+    | limit_messages.Delegation
     | limit_messages.Allocation
     | limit_messages.Handover
 )
--- a/forklift/organisations.py
+++ b/forklift/organisations.py
@@ -14,7 +14,7 @@
 DIGEST_SIZE = 16
 
 
-class Stranger(errors.ForkliftError):
+class UnknownCaller(errors.ForkliftError):
     """No organisation is known by what a caller sent."""
 
     def __init__(self):
@@ -24,7 +24,7 @@
         )
 
 
-class SharedKey(errors.ForkliftError):
+class DuplicateKey(errors.ForkliftError):
     """Two organisations have one key."""
 
     def __init__(self, first: str, second: str):
@@ -73,7 +73,7 @@
         """Makes a look-up.
 
         Raises:
-            SharedKey: A key is that of two of them.
+            DuplicateKey: A key is that of two of them.
         """
         self.by_name: dict[str, Organisation] = {}
         self.any_limited = False
@@ -84,7 +84,7 @@
             for known in one.digests:
                 other = self._by_digest.setdefault(known, one)
                 if other is not one:
-                    raise SharedKey(other.name, one.name)
+                    raise DuplicateKey(other.name, one.name)
 
     def identify(
         self, keys: Iterable[bytes], is_open: bool
@@ -99,14 +99,14 @@
             is_open: Whether its route is open to all.
 
         Raises:
-            Stranger: Nobody's.
+            UnknownCaller: Nobody's.
         """
         keys = tuple(keys)
         if not keys and is_open:
             return None
         found = self._by_digest.get(digest(keys[0])) if len(keys) == 1 else None
         if found is None:
-            raise Stranger()
+            raise UnknownCaller()
         return found
 
 
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -168,7 +168,7 @@
         return organisations.Organisations(
             _organisation(name, found) for name, found in record.tenants.items()
         )
-    except organisations.SharedKey as error:
+    except organisations.DuplicateKey as error:
         raise Unusable(str(error)) from error
 
 
--- a/forklift/quarantine.py
+++ b/forklift/quarantine.py
@@ -24,35 +24,35 @@
 # Weight from which on a request is held back. A crash beside other work weighs
 # one, a crash alone two: three targets at the most, two where one of them ran
 # nothing else. One alone may be chance.
-ENOUGH = 3
-WEIGHT_ALONE = 2
+QUARANTINE_WEIGHT = 3
+SOLE_REQUEST_WEIGHT = 2
 # Seconds for which a request is first held back after its last crash; twice as
 # long after each that follows its release, up to DOUBLINGS times.
-HOLD = 600.0
-DOUBLINGS = 6
+QUARANTINE_SECONDS = 600.0
+MAX_DOUBLINGS = 6
 # Seconds for which a suspect is remembered, and one that was held back after
 # its release, so that a single crash then holds it back again. Evidence that is
 # void is kept as long, so that late news of it changes nothing.
-REMEMBERED_FOR = 3600.0
+RETENTION_SECONDS = 3600.0
 # Seconds after an answer for which a request is not taken for the cause of a
 # crash: one that crashes each target is never answered.
-SOUND_FOR = 10.0
+EXONERATION_SECONDS = 10.0
 # Requests under suspicion that are kept: each costs somebody a crash.
-MOST = 512
+MAX_CASES = 512
 # Crashes kept of each.
-MOST_CRASHES = 8
+MAX_CRASHES_PER_CASE = 8
 # Requests that were answered of late, to clear what is accused by others.
-MOST_ANSWERED = 512
+MAX_RECENT_SUCCESSES = 512
 
 
-class Standing(enum.Enum):
+class Verdict(enum.Enum):
     """How a request is seen."""
 
     CLEAR = "clear"
     # It may have crashed a target: it runs alone.
-    SUSPECT = "suspect"
+    SUSPECTED = "suspect"
     # It is refused.
-    HELD = "held"
+    QUARANTINED = "held"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -92,7 +92,9 @@
     @property
     def weight(self) -> int:
         """Of all crashes that count."""
-        return sum(WEIGHT_ALONE if one.alone else 1 for one in self.valid)
+        return sum(
+            SOLE_REQUEST_WEIGHT if one.alone else 1 for one in self.valid
+        )
 
     def held_until(self) -> float | None:
         """Monotonic seconds of its release; None where it is not held back."""
@@ -101,22 +103,22 @@
     def forgotten_at(self) -> float:
         """Monotonic seconds from which on it is of no use."""
         release = _release(self._all)
-        return (self.last if release is None else release) + REMEMBERED_FOR
+        return (self.last if release is None else release) + RETENTION_SECONDS
 
 
 def _release(crashes: list[Crash]) -> float | None:
     """When crashes, the oldest first, cease to hold a request back."""
     weight = 0
     for number, crash in enumerate(crashes, 1):
-        weight += WEIGHT_ALONE if crash.alone else 1
-        if weight >= ENOUGH:
-            further = min(DOUBLINGS, len(crashes) - number)
-            return crashes[-1].at + HOLD * 2**further
+        weight += SOLE_REQUEST_WEIGHT if crash.alone else 1
+        if weight >= QUARANTINE_WEIGHT:
+            further = min(MAX_DOUBLINGS, len(crashes) - number)
+            return crashes[-1].at + QUARANTINE_SECONDS * 2**further
     return None
 
 
 @dataclasses.dataclass(frozen=True)
-class News:
+class Changes:
     """Evidence that changed.
 
     Attributes:
@@ -132,11 +134,11 @@
     """What one process knows of requests that crash targets.
 
     >>> quarantine = Quarantine()
-    >>> quarantine.crashed({b"a", b"b"}, 1, 0.0)
-    >>> quarantine.answered(b"b", 0.1)
-    >>> quarantine.crashed({b"a"}, 2, 0.2)
-    >>> quarantine.standing(b"a", 0.3), quarantine.standing(b"b", 0.3)
-    (<Standing.HELD: 'held'>, <Standing.CLEAR: 'clear'>)
+    >>> quarantine.record_crash({b"a", b"b"}, 1, 0.0)
+    >>> quarantine.record_success(b"b", 0.1)
+    >>> quarantine.record_crash({b"a"}, 2, 0.2)
+    >>> quarantine.verdict(b"a", 0.3), quarantine.verdict(b"b", 0.3)
+    (<Verdict.QUARANTINED: 'held'>, <Verdict.CLEAR: 'clear'>)
     """
 
     def __init__(self):
@@ -151,38 +153,38 @@
 
     # What is decided.
 
-    def standing(self, fingerprint: bytes, now: float) -> Standing:
+    def verdict(self, fingerprint: bytes, now: float) -> Verdict:
         """How a request is seen now."""
         case = self._case_by_fingerprint.get(fingerprint)
         if case is None or not case.valid or now >= case.forgotten_at():
-            return Standing.CLEAR
+            return Verdict.CLEAR
         until = case.held_until()
         if until is not None and now < until:
-            return Standing.HELD
-        return Standing.SUSPECT
+            return Verdict.QUARANTINED
+        return Verdict.SUSPECTED
 
-    def held_for(self, fingerprint: bytes, now: float) -> float:
+    def quarantined_for(self, fingerprint: bytes, now: float) -> float:
         """Seconds until a request is released; 0 where it is not held back."""
-        if self.standing(fingerprint, now) is not Standing.HELD:
+        if self.verdict(fingerprint, now) is not Verdict.QUARANTINED:
             return 0.0
         case = self._case_by_fingerprint[fingerprint]
         return case.held_until() - now
 
-    def suspects(self, fingerprint: bytes, now: float) -> bool:
+    def is_suspected(self, fingerprint: bytes, now: float) -> bool:
         """Whether a request may run, but only alone."""
-        return self.standing(fingerprint, now) is Standing.SUSPECT
+        return self.verdict(fingerprint, now) is Verdict.SUSPECTED
 
-    def held(self, now: float) -> list[bytes]:
+    def quarantined(self, now: float) -> list[bytes]:
         """Requests that are held back."""
         return [
             one
             for one in self._case_by_fingerprint
-            if self.standing(one, now) is Standing.HELD
+            if self.verdict(one, now) is Verdict.QUARANTINED
         ]
 
     # What happens.
 
-    def crashed(
+    def record_crash(
         self, running: Collection[bytes], crash: int, now: float
     ) -> None:
         """A target crashed.
@@ -193,19 +195,19 @@
             now: Monotonic seconds.
         """
         # Where one is known to do this, the others only ran beside it.
-        known = {one for one in running if self.held_for(one, now)}
+        known = {one for one in running if self.quarantined_for(one, now)}
         blamed = known or set(running)
         alone = len(blamed) == 1
         for fingerprint in blamed - {b""}:
             self._add(fingerprint, {crash: Crash(now, alone)}, now)
 
-    def answered(self, fingerprint: bytes, now: float) -> None:
+    def record_success(self, fingerprint: bytes, now: float) -> None:
         """A target ran a request, lived, and answered it with success."""
         if not fingerprint:
             return
         self._answered[fingerprint] = now
         self._answered.move_to_end(fingerprint)
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_RECENT_SUCCESSES:
             self._answered.popitem(last=False)
         case = self._case_by_fingerprint.get(fingerprint)
         if case is not None and case.valid:
@@ -214,21 +216,21 @@
     # What is told.
 
     @property
-    def has_news(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether there is evidence that was not told yet."""
         return bool(self._news)
 
-    def take_news(self, now: float) -> News:
+    def take_changes(self, now: float) -> Changes:
         """Evidence that changed since it was last told."""
         news, self._news = self._news, {}
-        found = News([], [])
+        found = Changes([], [])
         for fingerprint, own in news.items():
             if fingerprint in self._case_by_fingerprint:
                 told = found.own if own else found.heard
                 told.append(self.evidence(fingerprint, now))
         return found
 
-    def everything(self, now: float) -> list[messages.Evidence]:
+    def all_evidence(self, now: float) -> list[messages.Evidence]:
         """All evidence."""
         return [self.evidence(one, now) for one in self._case_by_fingerprint]
 
@@ -243,7 +245,7 @@
         )
         return messages.Evidence(fingerprint, crashes)
 
-    def learn(self, found: Iterable[messages.Evidence], now: float) -> None:
+    def merge(self, found: Iterable[messages.Evidence], now: float) -> None:
         """Takes evidence of others in."""
         for one in found:
             if not one.fingerprint:
@@ -290,7 +292,9 @@
             merged[number] = Crash(
                 min(known.at, crash.at),
                 known.alone or crash.alone,
-                known.void or crash.void or crash.at <= answered + SOUND_FOR,
+                known.void
+                or crash.void
+                or crash.at <= answered + EXONERATION_SECONDS,
             )
         case = _Case(_latest(merged))
         if not merged or now >= case.forgotten_at() or _same(before, case):
@@ -322,7 +326,7 @@
 
     def _bound(self) -> None:
         """Forgets the weakest case where there are too many."""
-        if len(self._case_by_fingerprint) <= MOST:
+        if len(self._case_by_fingerprint) <= MAX_CASES:
             return
         case_by_fingerprint = self._case_by_fingerprint
         weakest = min(
@@ -338,7 +342,7 @@
 def _latest(crash_by_id: dict[int, Crash]) -> dict[int, Crash]:
     """The last crashes; of those beyond, the oldest ones are dropped."""
     order = sorted(crash_by_id, key=lambda one: crash_by_id[one].at)
-    return {one: crash_by_id[one] for one in order[-MOST_CRASHES:]}
+    return {one: crash_by_id[one] for one in order[-MAX_CRASHES_PER_CASE:]}
 
 
 def _same(before: _Case, after: _Case) -> bool:
--- a/forklift/quarantine_sync.py
+++ b/forklift/quarantine_sync.py
@@ -17,13 +17,13 @@
 from forklift import quarantine as quarantines
 
 # Cases that one message carries, so that it fits a datagram.
-CASES_A_MESSAGE = 12
+MAX_CASES_PER_MESSAGE = 12
 # Peers that news of another process is passed on to, where not all are peers
 # of all: with six each of a hundred processes is told with 0.998, by the
 # final size of an epidemic; heartbeats tell the rest.
-PASSED_ON_TO = 6
+RELAY_FANOUT = 6
 # Peers that a process asks which stood still.
-ASKED = 3
+REQUEST_FANOUT = 3
 # Seconds between two looks for what is of no use any more.
 EXPIRY_PERIOD = 1.0
 
@@ -53,22 +53,22 @@
         self._next_expiry = 0.0
 
     @property
-    def active(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether there is something to tell that does not wait."""
-        return self._quarantine.has_news
+        return self._quarantine.has_changes
 
     def tick(self, now: float) -> list[gossip.Send]:
         """Lets time pass."""
         if now >= self._next_expiry:
             self._next_expiry = now + EXPIRY_PERIOD
             self._quarantine.expire(now)
-        if not self._quarantine.has_news:
+        if not self._quarantine.has_changes:
             return []
-        news = self._quarantine.take_news(now)
+        news = self._quarantine.take_changes(now)
         peers = self._peers()
         sends = self._tell(peers, news.own)
         if len(self._directory.member_by_name) > gossip.PEERS:
-            few = self._rng.sample(peers, min(PASSED_ON_TO, len(peers)))
+            few = self._rng.sample(peers, min(RELAY_FANOUT, len(peers)))
             sends += self._tell(few, news.heard)
         return sends
 
@@ -76,12 +76,12 @@
         self, message: messages.Suspects, now: float
     ) -> list[gossip.Send]:
         """Takes evidence of another process in."""
-        self._quarantine.learn(message.evidence, now)
+        self._quarantine.merge(message.evidence, now)
         if not message.ask or message.digest == self._quarantine.digest():
             return []
         return self._tell_all(message.sender.control, now, ask=False)
 
-    def compare(
+    def compare_digest(
         self, address: str, digest: int, now: float
     ) -> list[gossip.Send]:
         """A peer told the digest of what it knows."""
@@ -89,10 +89,10 @@
             return []
         return self._tell_all(address, now, ask=True)
 
-    def ask(self, now: float) -> list[gossip.Send]:
+    def request_evidence(self, now: float) -> list[gossip.Send]:
         """Asks a few peers, as this process may have missed news."""
         peers = self._peers()
-        asked = self._rng.sample(peers, min(ASKED, len(peers)))
+        asked = self._rng.sample(peers, min(REQUEST_FANOUT, len(peers)))
         return [
             send
             for name in asked
@@ -111,7 +111,7 @@
     def _tell_all(
         self, address: str, now: float, ask: bool
     ) -> list[gossip.Send]:
-        everything = self._quarantine.everything(now)
+        everything = self._quarantine.all_evidence(now)
         return [
             gossip.Send(address, part)
             for part in self._parts(everything, ask) or [self._message((), ask)]
@@ -121,11 +121,11 @@
         self, evidence: Sequence[messages.Evidence], ask: bool
     ) -> list[messages.Suspects]:
         """Messages of a size; the last one asks, as all is told by then."""
-        starts = range(0, len(evidence), CASES_A_MESSAGE)
+        starts = range(0, len(evidence), MAX_CASES_PER_MESSAGE)
         return [
             self._message(
-                tuple(evidence[start : start + CASES_A_MESSAGE]),
-                ask and start + CASES_A_MESSAGE >= len(evidence),
+                tuple(evidence[start : start + MAX_CASES_PER_MESSAGE]),
+                ask and start + MAX_CASES_PER_MESSAGE >= len(evidence),
             )
             for start in starts
         ]
--- a/forklift/rate_limits.py
+++ b/forklift/rate_limits.py
@@ -38,12 +38,12 @@
         return burst + ROOM_SHARE * room
 
 
-class Bucket:
+class TokenBucket:
     """Tokens that are earned with time and spent one by one.
 
-    >>> bucket = Bucket(0.0)
-    >>> bucket.earn(1.0, 2.0, 3.0)
-    >>> bucket.take(), bucket.take(), bucket.take()
+    >>> bucket = TokenBucket(0.0)
+    >>> bucket.refill(1.0, 2.0, 3.0)
+    >>> bucket.try_take(), bucket.try_take(), bucket.try_take()
     (True, True, False)
     """
 
@@ -51,7 +51,7 @@
         self.tokens = 0.0
         self._at = now
 
-    def earn(self, now: float, rate: float, depth: float) -> None:
+    def refill(self, now: float, rate: float, depth: float) -> None:
         """Time passed.
 
         Args:
@@ -63,7 +63,7 @@
         self._at = max(self._at, now)
         self.tokens = max(0.0, min(depth, self.tokens + earned))
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
         """Spends one token; False when there is none."""
         if self.tokens < 1.0:
             return False
--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -174,10 +174,10 @@
             return self._fenced(ticket)
         now = self._clock.monotonic()
         fingerprint = request.fingerprint
-        held = self._quarantine.held_for(fingerprint, now)
+        held = self._quarantine.quarantined_for(fingerprint, now)
         if held:
             return exchange.not_run(Reason.QUARANTINED, held)
-        if self._quarantine.suspects(fingerprint, now):
+        if self._quarantine.is_suspected(fingerprint, now):
             ticket = dataclasses.replace(ticket, alone=True)
         if ticket.repeatable:
             return await self._admitted(site, ticket, request, sink)
@@ -283,7 +283,7 @@
                 self.crashed(site)
             sign = _SIGN_BY_REASON.get(error.reason)
             now = self._clock.monotonic()
-            held = self._quarantine.held_for(request.fingerprint, now)
+            held = self._quarantine.quarantined_for(request.fingerprint, now)
             result = exchange.not_run(error.reason, held)
         except upstream.AnswerBroken as error:
             sign = Sign.BROKEN
@@ -328,7 +328,7 @@
         if not running or site.controller.left:
             return
         crash = secrets.randbits(_CRASH_BITS)
-        self._quarantine.crashed(running, crash, now)
+        self._quarantine.record_crash(running, crash, now)
         _log.warning(
             "target_crashed",
             target=site.controller.name,
@@ -336,15 +336,15 @@
             held=[
                 one.hex()
                 for one in running
-                if self._quarantine.held_for(one, now)
+                if self._quarantine.quarantined_for(one, now)
             ],
         )
         self._on_evidence()
 
     def _served(self, fingerprint: bytes) -> None:
         """A target served a request, so it does not crash each one."""
-        self._quarantine.answered(fingerprint, self._clock.monotonic())
-        if self._quarantine.has_news:
+        self._quarantine.record_success(fingerprint, self._clock.monotonic())
+        if self._quarantine.has_changes:
             self._on_evidence()
 
     def _launch(
@@ -356,7 +356,7 @@
             return Reason.DRAINING
         if ticket.deadline <= now:
             return Reason.DEADLINE
-        if self._quarantine.held_for(fingerprint, now):
+        if self._quarantine.quarantined_for(fingerprint, now):
             # It crashed others while it waited here.
             return Reason.QUARANTINED
         if not self.fences.start(ticket.id, now):
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -244,14 +244,16 @@
     def _held_for(self) -> float:
         """Seconds for which it is held back, as it crashes targets."""
         fingerprint = self._request.fingerprint
-        return self._forwarder.quarantine.held_for(fingerprint, self._now())
+        return self._forwarder.quarantine.quarantined_for(
+            fingerprint, self._now()
+        )
 
     @property
     def _alone(self) -> bool:
         """Whether it runs only where nothing else does."""
         fingerprint = self._request.fingerprint
         quarantine = self._forwarder.quarantine
-        suspect = quarantine.suspects(fingerprint, self._now())
+        suspect = quarantine.is_suspected(fingerprint, self._now())
         return suspect or self._retry_state.exclusive
 
     @property
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -71,7 +71,8 @@
         dialect: Names of header fields.
         limits: Bounds on callers now.
         find: Finds the route of a request by host, path and the keys that it
-            carries; None when there is none. Raises `organisations.Stranger`.
+            carries; None when there is none. Raises
+            `organisations.UnknownCaller`.
         known: Whether any configuration is in force.
         handle: Runs a request.
         next_seq: Numbers requests.
@@ -387,7 +388,7 @@
         try:
             keys = http.values(headers, names.key)
             found = self._desk.find(host, path, keys)
-        except organisations.Stranger:
+        except organisations.UnknownCaller:
             return None, Reason.UNKNOWN_CALLER
         if found is None:
             return None, Reason.NO_SERVICE
@@ -429,7 +430,7 @@
         if organisation:
             # One that has two keys is one caller.
             caller += (organisation.encode(),)
-        return fingerprint.of(
+        return fingerprint.compute(
             event.method,
             http.value(headers, b"host") or b"",
             event.target,
--- a/forklift/shell/keeping.py
+++ b/forklift/shell/keeping.py
@@ -63,7 +63,7 @@
     def crashed(self) -> None:
         """This process saw a crash: it writes what that tells at once."""
         now = self._clock.monotonic()
-        for fingerprint in self._quarantine.held(now):
+        for fingerprint in self._quarantine.quarantined(now):
             self._refresh(fingerprint, now)
 
     def write_again(self) -> None:
@@ -77,7 +77,7 @@
         request that is released has no use for one.
         """
         now = self._clock.monotonic()
-        held = set(self._quarantine.held(now))
+        held = set(self._quarantine.quarantined(now))
         for fingerprint in held:
             if self._owns(fingerprint):
                 self._refresh(fingerprint, now)
@@ -95,7 +95,7 @@
             return
         since = max(0.0, self._clock.wall() - kept.at)
         aged = messages.aged(kept.evidence, since)
-        self._quarantine.learn([aged], self._clock.monotonic())
+        self._quarantine.merge([aged], self._clock.monotonic())
         crashes = frozenset(one.id for one in aged.crashes)
         self._crashes_by_fingerprint[aged.fingerprint] = crashes
 
@@ -118,7 +118,7 @@
         while True:
             now = self._clock.monotonic()
             data = b""
-            if self._quarantine.held_for(fingerprint, now):
+            if self._quarantine.quarantined_for(fingerprint, now):
                 evidence = self._quarantine.evidence(fingerprint, now)
                 wall = self._clock.wall()
                 data = messages.encode(messages.KeptEvidence(wall, evidence))
--- a/forklift/shell/limiting.py
+++ b/forklift/shell/limiting.py
@@ -7,10 +7,10 @@
 
 import structlog
 
-from forklift import allowance
 from forklift import catalog
 from forklift import limit_messages
 from forklift import limiter as limiters
+from forklift import local_quota
 from forklift import membership
 from forklift import messages
 from forklift import rate_limits
@@ -28,7 +28,7 @@
 WAIT_LEAST = 0.1
 
 KINDS = (
-    limit_messages.Vote,
+    limit_messages.Delegation,
     limit_messages.Allocation,
     limit_messages.Handover,
 )
@@ -81,13 +81,13 @@
         if not organisation:
             return None
         now = self._clock.monotonic()
-        found = self.limiter.allowance.admit(organisation, now)
-        if found.answer is allowance.Answer.YES:
+        found = self.limiter.quota.admit(organisation, now)
+        if found.decision is local_quota.Decision.ADMIT:
             return None
-        wait = found.wait
-        if found.answer is allowance.Answer.ASK:
+        wait = found.retry_after
+        if found.decision is local_quota.Decision.ASK_ALLOCATOR:
             wait = await self._asked(organisation)
-            self.limiter.allowance.asked(organisation, wait is None)
+            self.limiter.quota.record_outcome(organisation, wait is None)
         if wait is None:
             return None
         # Those that were refused together are to return one by one.
@@ -98,24 +98,24 @@
         now = self._clock.monotonic()
         current = self._in_force.catalog
         limit = current.organisation(organisation)
-        allowed = self.limiter.allowance
+        allowed = self.limiter.quota
         _log.info(
             "limited",
             request=request_id,
             organisation=organisation,
             rate=limit.rate if limit is not None else 0.0,
-            part=round(allowed.part(organisation, now), 4),
-            allocator=self.limiter.allocator(organisation),
-            heard=allowed.heard_for(organisation, now),
+            part=round(allowed.leased_share(organisation, now), 4),
+            allocator=self.limiter.allocator_of(organisation),
+            heard=allowed.seconds_since_allocation(organisation, now),
             wait=round(wait, 2),
             version=current.version,
         )
 
-    def give_back(self, organisation: str) -> None:
+    def refund(self, organisation: str) -> None:
         """A request that was let in has not run, and never will."""
         if organisation:
             now = self._clock.monotonic()
-            self.limiter.allowance.give_back(organisation, now)
+            self.limiter.quota.refund(organisation, now)
 
     def tick(self, now: float) -> None:
         """Lets time pass."""
@@ -150,18 +150,20 @@
         waiting = self._waiting_by_organisation.get(organisation)
         if waiting:
             now = self._clock.monotonic()
-            self._send(self.limiter.ask(organisation, len(waiting), now))
+            self._send(
+                self.limiter.request_tokens(organisation, len(waiting), now)
+            )
 
-    def _tokens(self, told: limit_messages.Tokens) -> None:
+    def _tokens(self, told: limit_messages.TokenGrant) -> None:
         """Those that wait go on in turn; the others learn that none is left."""
         waiting = self._waiting_by_organisation.get(told.organisation)
         if waiting is None:
             return
         for _ in range(min(told.count, len(waiting))):
             _settle(waiting.popleft(), None)
-        if told.wait > 0:
+        if told.retry_after > 0:
             while waiting:
-                _settle(waiting.popleft(), told.wait)
+                _settle(waiting.popleft(), told.retry_after)
         if not waiting:
             del self._waiting_by_organisation[told.organisation]
 
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -115,13 +115,15 @@
         """Whether there is something to tell that does not wait."""
         return (
             self.gossip.has_news
-            or self.quarantine_sync.active
+            or self.quarantine_sync.has_changes
             or self.dissemination.active(now)
         )
 
     def paused(self) -> None:
         """This process stood still, and may have missed what others told."""
-        self._send(self.quarantine_sync.ask(self._clock.monotonic()))
+        self._send(
+            self.quarantine_sync.request_evidence(self._clock.monotonic())
+        )
 
     def ask_for_work(self, target: str, load: messages.Load) -> None:
         """Has some entries of this failure domain send work to a target."""
@@ -198,7 +200,7 @@
         self._send(self.gossip.receive(message, now))
         if not isinstance(message, messages.SyncReply):
             self._send(
-                self.quarantine_sync.compare(
+                self.quarantine_sync.compare_digest(
                     message.sender.control, message.evidence, now
                 )
             )
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -327,7 +327,7 @@
         self.announced.settings = read
         self.policy = load_policy(read)
         self.balancer.set_retry_limits(_bounds(self.settings))
-        self.limiting.limiter.bound(_limit_bounds(read))
+        self.limiting.limiter.set_bounds(_limit_bounds(read))
         self.balancer.far_cost = read.limits.far_cost
 
     def running(self) -> int:
@@ -391,7 +391,7 @@
             return exchange.not_run(Reason.LIMITED, wait)
         result = await self.forwarder.run(request, sink)
         if result.ending.outcome is messages.Outcome.NOT_RUN:
-            self.limiting.give_back(request.organisation)
+            self.limiting.refund(request.organisation)
         return result
 
     def _find(
@@ -563,7 +563,7 @@
         if isinstance(message, limiting.KINDS):
             self.limiting.receive(message)
             return
-        self.limiting.limiter.heard(message.sender.name)
+        self.limiting.limiter.mark_alive(message.sender.name)
         self.neighbours.receive(message)
         self.configuring.look()
         sender = message.sender
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -48,10 +48,10 @@
 
 
 def _organisations(proxy) -> tuple[report.OrganisationUse, ...]:
-    allowance = proxy.limiting.limiter.allowance
+    quota = proxy.limiting.limiter.quota
     now = proxy.clock.monotonic()
     found = []
-    for name, use in allowance.use_by_organisation.items():
+    for name, use in quota.usage_by_organisation.items():
         limit = proxy.in_force.catalog.organisation(name)
         found.append(
             report.OrganisationUse(
@@ -59,7 +59,7 @@
                 use.admitted,
                 use.refused,
                 limit.rate if limit is not None else 0.0,
-                round(allowance.part(name, now), 4),
+                round(quota.leased_share(name, now), 4),
                 round(use.rate(now), 2),
             )
         )
@@ -75,8 +75,8 @@
 def _held(proxy) -> dict[str, float]:
     now = proxy.clock.monotonic()
     return {
-        one.hex(): round(proxy.quarantine.held_for(one, now), 1)
-        for one in proxy.quarantine.held(now)
+        one.hex(): round(proxy.quarantine.quarantined_for(one, now), 1)
+        for one in proxy.quarantine.quarantined(now)
     }
 
 
--- a/forklift_lab/limit_model.py
+++ b/forklift_lab/limit_model.py
@@ -14,8 +14,8 @@
 import random
 from collections.abc import Callable
 
-from forklift import allowance
 from forklift import limiter
+from forklift import local_quota
 from forklift import membership
 from forklift import messages
 from forklift import organisations
@@ -91,7 +91,7 @@
         now = self.model.now
         self.heard_at[info.name] = now
         if isinstance(self.limiter, limiter.Limiter):
-            self.limiter.heard(info.name)
+            self.limiter.mark_alive(info.name)
         member = self.directory.member_by_name.get(info.name)
         if member is not None and not member.usable:
             # It refutes what was held of it.
@@ -110,14 +110,16 @@
     def arrive(self, organisation: str) -> None:
         """A request comes."""
         now = self.model.now
-        found = self.limiter.allowance.admit(organisation, now)
-        if found.answer is allowance.Answer.ASK:
+        found = self.limiter.quota.admit(organisation, now)
+        if found.decision is local_quota.Decision.ASK_ALLOCATOR:
             waiting = self.waiting[organisation]
             waiting.append(now)
-            self.send(self.limiter.ask(organisation, len(waiting), now))
+            self.send(
+                self.limiter.request_tokens(organisation, len(waiting), now)
+            )
             return
         self.model.ended(
-            organisation, now, found.answer is allowance.Answer.YES
+            organisation, now, found.decision is local_quota.Decision.ADMIT
         )
 
     def tokens(self, told) -> None:
@@ -152,25 +154,27 @@
     return limiter.Limiter(
         node.directory,
         node.model.bounds,
-        node.model.limit_of,
+        node.model.find_organisation,
         lambda: True,
         lambda: node.counted,
         node.tokens,
     )
 
 
-class _Shares(allowance.Allowance):
+class _Shares(local_quota.LocalQuota):
     """Each process has its share and nothing else."""
 
-    def admit(self, organisation: str, now: float) -> allowance.Admission:
-        """See `allowance.Allowance`."""
+    def admit(
+        self, organisation: str, now: float
+    ) -> local_quota.AdmissionResult:
+        """See `local_quota.LocalQuota`."""
         found = super().admit(organisation, now)
-        if found.answer is allowance.Answer.ASK:
-            return allowance.Admission(allowance.Answer.NO)
+        if found.decision is local_quota.Decision.ASK_ALLOCATOR:
+            return local_quota.AdmissionResult(local_quota.Decision.REJECT)
         return found
 
-    def part(self, organisation: str, now: float) -> float:
-        """See `allowance.Allowance`."""
+    def leased_share(self, organisation: str, now: float) -> float:
+        """See `local_quota.LocalQuota`."""
         return self._weight()
 
 
@@ -179,8 +183,11 @@
 
     def __init__(self, node: Node):
         self._node = node
-        self.allowance = _Shares(
-            lambda: None, node.model.bounds, node.model.limit_of, self._weight
+        self.quota = _Shares(
+            lambda: None,
+            node.model.bounds,
+            node.model.find_organisation,
+            self._weight,
         )
 
     def _weight(self) -> float:
@@ -201,8 +208,8 @@
 class _Trusting(limiter.Limiter):
     """Whoever sees itself as the allocator has all of a limit."""
 
-    def _begin(self, shard: int, now: float):
-        kept = super()._begin(shard, now)
+    def _start_allocator(self, shard: int, now: float):
+        kept = super()._start_allocator(shard, now)
         kept.capacity = lambda now: 1.0
         return kept
 
@@ -213,7 +220,7 @@
     return _Trusting(
         node.directory,
         node.model.bounds,
-        node.model.limit_of,
+        node.model.find_organisation,
         lambda: True,
         lambda: node.counted,
         node.tokens,
@@ -235,7 +242,7 @@
         self.now = 1000.0
         self.bounds = bounds or rate_limits.Bounds()
         self.limits = limits
-        self.limit_of = self.limits.get
+        self.find_organisation = self.limits.get
         self.way = way_by_name[made]
         self.node_by_name: dict[str, Node] = {}
         # Pairs of sender and receiver between which nothing gets through.
--- a/test/test_keeping.py
+++ b/test/test_keeping.py
@@ -52,14 +52,14 @@
     def hold(self) -> None:
         """Two targets crash that ran nothing but the request."""
         for number in (1, 2):
-            self.quarantine.crashed({DEADLY}, number, self.clock.now)
+            self.quarantine.record_crash({DEADLY}, number, self.clock.now)
 
     async def done(self) -> None:
         await asyncio.gather(*self.tasks)
 
 
 def held(process: Process) -> float:
-    return process.quarantine.held_for(DEADLY, process.clock.now)
+    return process.quarantine.quarantined_for(DEADLY, process.clock.now)
 
 
 def play(work, monkeypatch, failures: int = 0) -> None:
@@ -81,7 +81,9 @@
         ((name, data),) = store.data_by_name.items()
         later.clock.now += 100.0
         later.keeper.read(name, data)
-        assert held(later) == held(first) == quarantines.HOLD - 100.0
+        assert (
+            held(later) == held(first) == quarantines.QUARANTINE_SECONDS - 100.0
+        )
 
     play(work, monkeypatch, failures=3)
 
@@ -121,7 +123,7 @@
             one.hold()
             one.keeper.tick()
         for one in processes:
-            one.clock.now += quarantines.HOLD / len(processes)
+            one.clock.now += quarantines.QUARANTINE_SECONDS / len(processes)
         for one in processes:
             one.keeper.tick()
             await one.done()
--- a/test/test_limits.py
+++ b/test/test_limits.py
@@ -11,8 +11,8 @@
 import pytest
 
 from forklift import allocator
-from forklift import allowance
 from forklift import limit_messages
+from forklift import local_quota
 from forklift import organisations
 from forklift import rate_limits
 from forklift_lab import limit_model
@@ -245,9 +245,9 @@
     monkeypatch.setattr(limit_model, "DEAD_AFTER", 1000.0)
     found = settled(1)
     gone = {
-        node.limiter._allocator(shard)
+        node.limiter._allocator_of_shard(shard)
         for node in found.node_by_name.values()
-        for shard in range(allowance.SHARDS)
+        for shard in range(local_quota.SHARD_COUNT)
     }
     for name in sorted(gone)[:3]:
         found.at(1.0, lambda name=name: found.kill(name, 1000.0))
@@ -263,18 +263,21 @@
     ends = {name: len(found.ends[name]) for name in found.limits}
     node = found.node_by_name["p3"]
     held = [
-        name for name in found.limits if node.limiter.allowance.part(name, now)
+        name
+        for name in found.limits
+        if node.limiter.quota.leased_share(name, now)
     ]
     assert held
-    found.run(allocator.VALID / 2)
+    found.run(allocator.LEASE_SECONDS / 2)
     for name in held:
-        assert node.limiter.allowance.part(name, found.now) > 0
+        assert node.limiter.quota.leased_share(name, found.now) > 0
         assert len(found.ends[name]) > ends[name]
-    found.run(allocator.LASTS)
+    found.run(allocator.DELEGATION_SECONDS)
     assert not [
         name
         for name in held
-        if node.limiter.allowance.part(name, found.now) > 1 / PROCESSES + 0.01
+        if node.limiter.quota.leased_share(name, found.now)
+        > 1 / PROCESSES + 0.01
     ]
 
 
@@ -297,29 +300,31 @@
     node, now = found.node_by_name["p0"], found.now
     limiter = node.limiter
     shard, name = next(
-        (number, limiter._allocator(number))
-        for number in range(allowance.SHARDS)
-        if limiter._allocator(number) != "p0"
+        (number, limiter._allocator_of_shard(number))
+        for number in range(local_quota.SHARD_COUNT)
+        if limiter._allocator_of_shard(number) != "p0"
     )
-    kept = limiter._begin(shard, now)
+    kept = limiter._start_allocator(shard, now)
     boot = node.directory.own.boot
-    given = kept.hear(vote(), now)
-    kept.hear(vote(2, echo=given.number, echo_boot=boot), now)
-    limiter.allowance.vote(shard, name, now)
-    assert limiter._keep(shard, name, now) == []
+    given = kept.receive_delegation(delegation(), now)
+    kept.receive_delegation(
+        delegation(2, echo=given.sequence, echo_boot=boot), now
+    )
+    limiter.quota.delegate(shard, name, now)
+    assert limiter._update_allocator(shard, name, now) == []
     assert limiter._allocator_by_shard[shard] is kept
-    limiter.allowance._shards[shard].unanswered_since = None
-    (send,) = limiter._keep(shard, name, now)
+    limiter.quota._shards[shard].unanswered_since = None
+    (send,) = limiter._update_allocator(shard, name, now)
     assert isinstance(send.message, limit_messages.Handover)
     assert shard not in limiter._allocator_by_shard
 
 
 # An allocator by itself.
 
-OWN = limit_messages.Voter("a", "a", 1)
+OWN = limit_messages.ProcessRun("a", "a", 1)
 LIMIT = organisations.Organisation("o", (), None, 100, 100)
 BOUNDS = rate_limits.Bounds(5.0, 0.1, 20.0)
-LASTS = allocator.LASTS
+DELEGATION_SECONDS = allocator.DELEGATION_SECONDS
 
 
 def alone(expected=()) -> allocator.Allocator:
@@ -328,114 +333,135 @@
     )
 
 
-def vote(number=1, name="p", boot=7, echo=0, **changes) -> limit_messages.Vote:
+def delegation(
+    sequence=1, name="p", boot=7, echo=0, **changes
+) -> limit_messages.Delegation:
     fields = {
-        "sender": limit_messages.Voter(name, name, boot),
+        "sender": limit_messages.ProcessRun(name, name, boot),
         "shard": 0,
-        "number": number,
+        "sequence": sequence,
         "echo": echo,
         "echo_boot": OWN.boot if echo else 0,
-        "lasts": LASTS,
-        "weight": 1.0,
-        "earlier": (),
-        "free_in": 0.0,
+        "valid_for": DELEGATION_SECONDS,
+        "share": 1.0,
+        "previous_allocators": (),
+        "exclusive_in": 0.0,
         "demands": (),
     }
-    return limit_messages.Vote(**(fields | changes))
+    return limit_messages.Delegation(**(fields | changes))
 
 
 def test_a_vote_counts_once_it_echoes_and_from_that_moment():
     """A vote that was held up on its way must not last longer for that."""
     found = alone()
-    given = found.hear(vote(), 0.0)
+    given = found.receive_delegation(delegation(), 0.0)
     assert found.capacity(0.0) == 0.0
-    late = (LASTS - allocator.VALID) / 2
-    found.hear(vote(2, echo=given.number), late)
+    late = (DELEGATION_SECONDS - allocator.LEASE_SECONDS) / 2
+    found.receive_delegation(delegation(2, echo=given.sequence), late)
     assert found.capacity(late) == 1.0
-    assert found.capacity(LASTS - allocator.VALID + 0.1) == 0.0
+    assert (
+        found.capacity(DELEGATION_SECONDS - allocator.LEASE_SECONDS + 0.1)
+        == 0.0
+    )
 
 
 def test_a_share_that_another_may_count_is_not_counted_yet():
     found = alone(expected=("p", "q"))
-    given = found.hear(vote(), 0.0)
-    tie = {"earlier": (("b", 5),), "free_in": 6.0}
-    found.hear(vote(2, echo=given.number, **tie), 0.1)
+    given = found.receive_delegation(delegation(), 0.0)
+    tie = {"previous_allocators": (("b", 5),), "exclusive_in": 6.0}
+    found.receive_delegation(delegation(2, echo=given.sequence, **tie), 0.1)
     assert found.capacity(0.1) == 0.0
     assert found.capacity(3.9) == 0.0
 
 
 def test_an_earlier_run_of_an_allocator_is_over_once_all_have_come():
     found = alone(expected=("p", "q"))
-    tie = {"earlier": (("a", 5),), "free_in": 9.0, "weight": 0.5}
-    given = found.hear(vote(name="p", **tie), 0.0)
-    found.hear(vote(2, "p", echo=given.number, **tie), 0.1)
+    tie = {
+        "previous_allocators": (("a", 5),),
+        "exclusive_in": 9.0,
+        "share": 0.5,
+    }
+    given = found.receive_delegation(delegation(name="p", **tie), 0.0)
+    found.receive_delegation(
+        delegation(2, "p", echo=given.sequence, **tie), 0.1
+    )
     assert found.capacity(0.1) == 0.0
-    given = found.hear(vote(name="q", **tie), 0.2)
-    found.hear(vote(2, "q", echo=given.number, **tie), 0.3)
+    given = found.receive_delegation(delegation(name="q", **tie), 0.2)
+    found.receive_delegation(
+        delegation(2, "q", echo=given.sequence, **tie), 0.3
+    )
     assert found.capacity(0.3) == 1.0
 
 
 def test_a_late_vote_changes_nothing():
     found = alone()
-    found.hear(vote(5), 0.0)
-    assert found.hear(vote(4), 0.1) is None
+    found.receive_delegation(delegation(5), 0.0)
+    assert found.receive_delegation(delegation(4), 0.1) is None
 
 
 def test_what_is_handed_over_is_granted_by_one_only():
     first, second = alone(), alone()
     asks = (limit_messages.Demand("o", 60.0, 0),)
-    given = first.hear(vote(), 0.0)
-    given = first.hear(vote(2, echo=given.number, demands=asks), 0.0)
-    assert given.parts[0].part == pytest.approx(allocator.DEALT)
+    given = first.receive_delegation(delegation(), 0.0)
+    given = first.receive_delegation(
+        delegation(2, echo=given.sequence, demands=asks), 0.0
+    )
+    assert given.leases[0].share == pytest.approx(allocator.LEASABLE_FRACTION)
     handed = first.hand_over(2, 0.5)
-    second.adopt(handed, 0.6)
+    second.accept_handover(handed, 0.6)
     assert second.capacity(0.6) == 1.0
     # What the first one granted is used until its successor is heard.
     asks = (limit_messages.Demand("o", 0.0, 1000),)
-    other = second.hear(vote(name="q", weight=0.0, demands=asks), 1.6)
-    least = (1 - allocator.DEALT) * BOUNDS.depth(100, 100)
-    assert other.tokens[0].count <= least
-    assert other.succeeds == (OWN.boot,)
+    other = second.receive_delegation(
+        delegation(name="q", share=0.0, demands=asks), 1.6
+    )
+    least = (1 - allocator.LEASABLE_FRACTION) * BOUNDS.depth(100, 100)
+    assert other.token_grants[0].count <= least
+    assert other.supersedes == (OWN.boot,)
     assert alone().hand_over(2, 0.0) is None
 
 
 def test_asks_are_answered_from_what_nobody_else_may_use():
     found = alone()
-    given = found.hear(vote(), 0.0)
-    found.hear(vote(2, echo=given.number), 0.0)
+    given = found.receive_delegation(delegation(), 0.0)
+    found.receive_delegation(delegation(2, echo=given.sequence), 0.0)
     asks = (limit_messages.Demand("o", 0.0, 500),)
-    got = found.hear(vote(3, demands=asks), 2.0).tokens[0]
+    got = found.receive_delegation(
+        delegation(3, demands=asks), 2.0
+    ).token_grants[0]
     depth = BOUNDS.depth(LIMIT.rate, LIMIT.burst)
     assert got.count == int(depth)
-    assert got.wait > 0
-    again = found.hear(vote(4, demands=asks), 2.5).tokens[0]
+    assert got.retry_after > 0
+    again = found.receive_delegation(
+        delegation(4, demands=asks), 2.5
+    ).token_grants[0]
     assert 49 <= again.count <= 51
 
 
 # A process by itself.
 
 
-def entry() -> allowance.Allowance:
-    return allowance.Allowance(
-        lambda: limit_messages.Voter("p", "p", 7),
+def entry() -> local_quota.LocalQuota:
+    return local_quota.LocalQuota(
+        lambda: limit_messages.ProcessRun("p", "p", 7),
         BOUNDS,
         {"o": LIMIT, "free": organisations.Organisation("free", ())}.get,
         lambda: 1.0,
     )
 
 
-def granted(found, now, boot=1, part=0.5, echo=None, number=1, **changes):
-    shard = allowance.shard_of("o")
-    echo = found.vote(shard, "a", now).number if echo is None else echo
+def granted(found, now, boot=1, share=0.5, echo=None, sequence=1, **changes):
+    shard = local_quota.shard_of("o")
+    echo = found.delegate(shard, "a", now).sequence if echo is None else echo
     fields = {
-        "sender": limit_messages.Voter("a", "a", boot),
+        "sender": limit_messages.ProcessRun("a", "a", boot),
         "shard": shard,
-        "number": number,
+        "sequence": sequence,
         "echo": echo,
-        "valid": allocator.VALID,
-        "parts": (limit_messages.Part("o", part),),
-        "tokens": (),
-        "succeeds": (),
+        "valid_for": allocator.LEASE_SECONDS,
+        "leases": (limit_messages.Lease("o", share),),
+        "token_grants": (),
+        "supersedes": (),
     }
     return limit_messages.Allocation(**(fields | changes))
 
@@ -443,98 +469,106 @@
 def test_who_has_no_limit_is_let_in():
     found = entry()
     for name in ("free", "unknown"):
-        assert found.admit(name, 0.0).answer is allowance.Answer.YES
-    assert not found.use_by_organisation
+        assert found.admit(name, 0.0).decision is local_quota.Decision.ADMIT
+    assert not found.usage_by_organisation
 
 
 def test_parts_end_by_the_sending_of_the_vote_they_answer():
     found = entry()
     answer = granted(found, 0.0)
-    found.receive(answer, allocator.VALID / 2)
-    assert found.part("o", allocator.VALID - 0.1) == 0.5
-    assert found.part("o", allocator.VALID + 0.1) == 0.0
+    found.receive(answer, allocator.LEASE_SECONDS / 2)
+    assert found.leased_share("o", allocator.LEASE_SECONDS - 0.1) == 0.5
+    assert found.leased_share("o", allocator.LEASE_SECONDS + 0.1) == 0.0
 
 
 @pytest.mark.parametrize("case", ["late", "unasked", "unknown shard"])
 def test_an_answer_to_nothing_is_passed_over(case):
     found = entry()
-    found.receive(granted(found, 0.0, number=2), 0.0)
+    found.receive(granted(found, 0.0, sequence=2), 0.0)
     answer = {
-        "late": granted(found, 0.1, number=1, part=0.9),
-        "unasked": granted(found, 0.1, number=3, part=0.9, echo=99),
-        "unknown shard": granted(found, 0.1, number=3, shard=99),
+        "late": granted(found, 0.1, sequence=1, share=0.9),
+        "unasked": granted(found, 0.1, sequence=3, share=0.9, echo=99),
+        "unknown shard": granted(found, 0.1, sequence=3, shard=99),
     }[case]
     assert found.receive(answer, 0.2) is None
-    assert found.part("o", 0.2) == 0.5
+    assert found.leased_share("o", 0.2) == 0.5
 
 
 def test_parts_of_two_allocators_add_up_until_one_succeeds_the_other():
     found = entry()
     found.receive(granted(found, 0.0), 0.0)
-    found.receive(granted(found, 0.1, boot=2, part=0.25), 0.1)
-    assert found.part("o", 0.2) == 0.75
+    found.receive(granted(found, 0.1, boot=2, share=0.25), 0.1)
+    assert found.leased_share("o", 0.2) == 0.75
     found.receive(
-        granted(found, 0.3, boot=2, number=2, part=0.25, succeeds=(1,)), 0.3
+        granted(found, 0.3, boot=2, sequence=2, share=0.25, supersedes=(1,)),
+        0.3,
     )
-    assert found.part("o", 0.4) == 0.25
+    assert found.leased_share("o", 0.4) == 0.25
 
 
 def test_a_share_is_told_as_lent_until_the_one_before_can_not_count_it():
     found = entry()
-    shard = allowance.shard_of("o")
-    assert found.vote(shard, "a", 0.0).free_in == 0.0
+    shard = local_quota.shard_of("o")
+    assert found.delegate(shard, "a", 0.0).exclusive_in == 0.0
     found.receive(granted(found, 0.0), 0.0)
-    found.vote(shard, "a", 1.0)
-    other = found.vote(shard, "b", 2.0)
-    assert other.earlier == (("a", 1),)
-    assert other.free_in == pytest.approx(LASTS - 1.0)
-    assert found.vote(shard, "b", 1.5 + LASTS).earlier == ()
+    found.delegate(shard, "a", 1.0)
+    other = found.delegate(shard, "b", 2.0)
+    assert other.previous_allocators == (("a", 1),)
+    assert other.exclusive_in == pytest.approx(DELEGATION_SECONDS - 1.0)
+    assert (
+        found.delegate(shard, "b", 1.5 + DELEGATION_SECONDS).previous_allocators
+        == ()
+    )
 
 
 def test_what_an_allocator_that_ended_was_lent_is_over_with_its_parts():
     ended = set()
-    found = allowance.Allowance(
-        lambda: limit_messages.Voter("p", "p", 7),
+    found = local_quota.LocalQuota(
+        lambda: limit_messages.ProcessRun("p", "p", 7),
         BOUNDS,
         {"o": LIMIT}.get,
         lambda: 1.0,
         lambda name, boot: (name, boot) in ended,
     )
-    shard = allowance.shard_of("o")
+    shard = local_quota.shard_of("o")
     found.receive(granted(found, 0.0), 0.0)
-    found.vote(shard, "a", 0.0)
-    assert found.vote(shard, "b", 0.1).free_in == pytest.approx(LASTS - 0.1)
+    found.delegate(shard, "a", 0.0)
+    assert found.delegate(shard, "b", 0.1).exclusive_in == pytest.approx(
+        DELEGATION_SECONDS - 0.1
+    )
     ended.add(("a", 1))
-    left = found.vote(shard, "b", 0.2).free_in
-    assert left == pytest.approx(allocator.VALID)
-    later = found.vote(shard, "b", 0.2 + allocator.VALID / 2).free_in
-    assert later == pytest.approx(allocator.VALID / 2)
+    left = found.delegate(shard, "b", 0.2).exclusive_in
+    assert left == pytest.approx(allocator.LEASE_SECONDS)
+    later = found.delegate(
+        shard, "b", 0.2 + allocator.LEASE_SECONDS / 2
+    ).exclusive_in
+    assert later == pytest.approx(allocator.LEASE_SECONDS / 2)
 
 
 def test_who_was_told_that_nothing_is_left_does_not_ask_again_at_once():
     found = entry()
-    assert found.admit("o", 0.0).answer is allowance.Answer.ASK
-    none = (limit_messages.Tokens("o", 0, 0.2),)
-    found.receive(granted(found, 0.0, part=0.0, tokens=none), 0.0)
+    assert found.admit("o", 0.0).decision is local_quota.Decision.ASK_ALLOCATOR
+    none = (limit_messages.TokenGrant("o", 0, 0.2),)
+    found.receive(granted(found, 0.0, share=0.0, token_grants=none), 0.0)
     again = found.admit("o", 0.1)
-    assert again.answer is allowance.Answer.NO
-    assert again.wait == pytest.approx(0.1)
-    assert found.admit("o", 0.25).answer is allowance.Answer.ASK
+    assert again.decision is local_quota.Decision.REJECT
+    assert again.retry_after == pytest.approx(0.1)
+    assert found.admit("o", 0.25).decision is local_quota.Decision.ASK_ALLOCATOR
 
 
 def test_what_has_not_run_gives_its_token_back():
     found = entry()
     found.admit("o", 0.0)
-    found.receive(granted(found, 0.0, part=0.05), 0.0)
+    found.receive(granted(found, 0.0, share=0.05), 0.0)
     now = 0.3
-    assert found.admit("o", now).answer is allowance.Answer.YES
-    assert found.admit("o", now).answer is allowance.Answer.ASK
-    found.give_back("o", now)
-    assert found.admit("o", now).answer is allowance.Answer.YES
+    assert found.admit("o", now).decision is local_quota.Decision.ADMIT
+    assert found.admit("o", now).decision is local_quota.Decision.ASK_ALLOCATOR
+    found.refund("o", now)
+    assert found.admit("o", now).decision is local_quota.Decision.ADMIT
 
 
 def test_what_is_not_used_is_forgotten():
     found = entry()
     found.admit("o", 0.0)
-    found.tick(allowance.FORGET_AFTER + 1.0)
-    assert not found.use_by_organisation
+    found.tick(local_quota.FORGET_AFTER + 1.0)
+    assert not found.usage_by_organisation
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -329,7 +329,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         back = []
-        one.limiting.give_back = back.append
+        one.limiting.refund = back.append
         one.beside.site_by_target["t0"].controller.drain()
         answer = await let_in(fleet, ("x-request-timeout-ms", "200"))
         assert answer.status == 503
@@ -387,7 +387,7 @@
     for known in found.callers.by_name.values():
         digests = [digest.hex() for digest in known.digests]
         for digest in digests:
-            with pytest.raises(organisations.Stranger):
+            with pytest.raises(organisations.UnknownCaller):
                 found.callers.identify([digest.encode()], False)
     assert found.record == handed
 
@@ -404,7 +404,7 @@
 
 def test_nobody_is_anybody_without_organisations():
     known = organisations.Organisations([])
-    with pytest.raises(organisations.Stranger):
+    with pytest.raises(organisations.UnknownCaller):
         known.identify([KEY.encode()], True)
 
 
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -12,7 +12,7 @@
 from forklift import quarantine_sync
 from test import fleet as fleets
 
-Standing = quarantines.Standing
+Verdict = quarantines.Verdict
 DEADLY, INNOCENT, OTHER = b"deadly", b"innocent", b"other"
 # Seconds within which the users want a crash to be known: the time after which
 # a process that a fault befell is in touch again.
@@ -20,40 +20,40 @@
 
 
 def crash(quarantine, number: int, at: float, *running: bytes) -> None:
-    quarantine.crashed(set(running), number, at)
+    quarantine.record_crash(set(running), number, at)
 
 
 def test_three_crashes_beside_other_work_are_enough():
     one = quarantines.Quarantine()
     for number in range(3):
-        assert one.standing(DEADLY, 1.0 * number) is not Standing.HELD
+        assert one.verdict(DEADLY, 1.0 * number) is not Verdict.QUARANTINED
         crash(one, number, 1.0 * number, DEADLY, b"other%d" % number)
-    assert one.standing(DEADLY, 3.0) is Standing.HELD
+    assert one.verdict(DEADLY, 3.0) is Verdict.QUARANTINED
 
 
 def test_two_crashes_are_enough_where_one_of_them_was_alone():
     one = quarantines.Quarantine()
     crash(one, 1, 0.0, DEADLY, INNOCENT)
-    assert one.standing(DEADLY, 0.1) is Standing.SUSPECT
+    assert one.verdict(DEADLY, 0.1) is Verdict.SUSPECTED
     crash(one, 2, 0.2, DEADLY)
-    assert one.standing(DEADLY, 0.3) is Standing.HELD
+    assert one.verdict(DEADLY, 0.3) is Verdict.QUARANTINED
 
 
 def test_one_crash_alone_may_be_chance():
     one = quarantines.Quarantine()
     crash(one, 1, 0.0, INNOCENT)
-    assert one.standing(INNOCENT, 0.1) is Standing.SUSPECT
+    assert one.verdict(INNOCENT, 0.1) is Verdict.SUSPECTED
 
 
 def test_what_is_answered_is_no_suspect_any_more():
     one = quarantines.Quarantine()
     for number in range(2):
         crash(one, number, 1.0, DEADLY, INNOCENT)
-    one.answered(INNOCENT, 2.0)
-    assert one.standing(INNOCENT, 2.1) is Standing.CLEAR
+    one.record_success(INNOCENT, 2.0)
+    assert one.verdict(INNOCENT, 2.1) is Verdict.CLEAR
     # A further crash counts as the first.
     crash(one, 5, 20.0, DEADLY, INNOCENT)
-    assert one.standing(INNOCENT, 20.1) is not Standing.HELD
+    assert one.verdict(INNOCENT, 20.1) is not Verdict.QUARANTINED
 
 
 def test_what_was_answered_a_moment_before_is_never_accused():
@@ -63,19 +63,19 @@
     """
     one = quarantines.Quarantine()
     for number in range(20):
-        one.answered(INNOCENT, 1.0 * number)
+        one.record_success(INNOCENT, 1.0 * number)
         crash(one, number, 1.0 * number + 0.5, b"new%d" % number, INNOCENT)
-        assert one.standing(INNOCENT, 1.0 * number + 0.6) is Standing.CLEAR
+        assert one.verdict(INNOCENT, 1.0 * number + 0.6) is Verdict.CLEAR
 
 
 def test_what_ran_beside_one_that_is_held_back_is_excused():
     one = quarantines.Quarantine()
     crash(one, 1, 0.0, DEADLY, INNOCENT, OTHER)
     crash(one, 2, 0.2, DEADLY)
-    assert one.standing(INNOCENT, 0.3) is Standing.CLEAR
+    assert one.verdict(INNOCENT, 0.3) is Verdict.CLEAR
     # It is known for it: what runs beside it then is not even suspected.
     crash(one, 3, 0.4, DEADLY, OTHER)
-    assert one.standing(OTHER, 0.5) is Standing.CLEAR
+    assert one.verdict(OTHER, 0.5) is Verdict.CLEAR
 
 
 def test_two_that_crash_targets_are_both_found():
@@ -84,16 +84,16 @@
     crash(one, 2, 0.2, DEADLY)
     crash(one, 3, 0.3, OTHER)
     crash(one, 4, 0.4, OTHER)
-    assert one.standing(DEADLY, 0.5) is Standing.HELD
-    assert one.standing(OTHER, 0.5) is Standing.HELD
+    assert one.verdict(DEADLY, 0.5) is Verdict.QUARANTINED
+    assert one.verdict(OTHER, 0.5) is Verdict.QUARANTINED
 
 
 def test_a_request_without_a_fingerprint_accuses_nobody_else():
     one = quarantines.Quarantine()
     for number in range(2):
         crash(one, number, 0.0, b"", INNOCENT)
-    assert one.standing(INNOCENT, 0.1) is Standing.SUSPECT
-    assert one.standing(b"", 0.1) is Standing.CLEAR
+    assert one.verdict(INNOCENT, 0.1) is Verdict.SUSPECTED
+    assert one.verdict(b"", 0.1) is Verdict.CLEAR
 
 
 def test_it_is_tried_again_later_and_each_time_later():
@@ -102,31 +102,31 @@
     crash(one, 2, 0.0, DEADLY)
     now = 0.0
     for number, hold in enumerate((600.0, 1200.0, 2400.0), 3):
-        assert one.held_for(DEADLY, now) == pytest.approx(hold)
+        assert one.quarantined_for(DEADLY, now) == pytest.approx(hold)
         now += hold
         # One run alone tells: it lives, or is held back for longer.
-        assert one.standing(DEADLY, now) is Standing.SUSPECT
+        assert one.verdict(DEADLY, now) is Verdict.SUSPECTED
         crash(one, number, now, DEADLY)
-    one.answered(DEADLY, now + 5000.0)
-    assert one.standing(DEADLY, now + 5000.0) is Standing.CLEAR
+    one.record_success(DEADLY, now + 5000.0)
+    assert one.verdict(DEADLY, now + 5000.0) is Verdict.CLEAR
 
 
 def test_memory_is_bounded_and_the_strongest_cases_stay():
     one = quarantines.Quarantine()
     crash(one, 1, 0.0, DEADLY)
     crash(one, 2, 0.0, DEADLY)
-    for number in range(3 * quarantines.MOST):
+    for number in range(3 * quarantines.MAX_CASES):
         crash(one, 10 + number, 1.0, b"new%d" % number, b"beside%d" % number)
-    assert len(one.everything(2.0)) <= quarantines.MOST
-    assert one.standing(DEADLY, 2.0) is Standing.HELD
-    for number in range(3 * quarantines.MOST_CRASHES):
+    assert len(one.all_evidence(2.0)) <= quarantines.MAX_CASES
+    assert one.verdict(DEADLY, 2.0) is Verdict.QUARANTINED
+    for number in range(3 * quarantines.MAX_CRASHES_PER_CASE):
         crash(one, -number - 1 + (1 << 40), 3.0 + number, DEADLY)
     (found,) = [
-        case for case in one.everything(99.0) if case.fingerprint == DEADLY
+        case for case in one.all_evidence(99.0) if case.fingerprint == DEADLY
     ]
-    assert len(found.crashes) <= quarantines.MOST_CRASHES
+    assert len(found.crashes) <= quarantines.MAX_CRASHES_PER_CASE
     one.expire(1e9)
-    assert (one.everything(1e9), one.digest()) == ([], 0)
+    assert (one.all_evidence(1e9), one.digest()) == ([], 0)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -138,18 +138,18 @@
         one = rng.choice(ones)
         names = rng.sample([DEADLY, INNOCENT, OTHER, b"x"], rng.randint(1, 3))
         if rng.random() < 0.3:
-            one.answered(names[0], 1.0)
+            one.record_success(names[0], 1.0)
         else:
             crash(one, number, 1.0, *names)
-        told += one.everything(1.0)
+        told += one.all_evidence(1.0)
     for _ in range(3):
         for one in ones:
-            told += one.everything(1.0)
+            told += one.all_evidence(1.0)
         for one in ones:
-            one.learn(rng.sample(told, len(told)), 1.0)
+            one.merge(rng.sample(told, len(told)), 1.0)
     assert len({one.digest() for one in ones}) == 1
     for name in (DEADLY, INNOCENT, OTHER, b"x"):
-        assert len({one.standing(name, 1.1) for one in ones}) == 1
+        assert len({one.verdict(name, 1.1) for one in ones}) == 1
 
 
 def test_what_a_target_still_runs_for_nobody_may_have_crashed_it():
@@ -182,7 +182,7 @@
         "length": 1,
         "body": b"b",
     }
-    return fingerprint.of(**{**parts, **changes})
+    return fingerprint.compute(**{**parts, **changes})
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,8 @@
     return {
         name
         for name, node in made.node_by_name.items()
-        if node.quarantine.standing(DEADLY, made.clock.now) is Standing.HELD
+        if node.quarantine.verdict(DEADLY, made.clock.now)
+        is Verdict.QUARANTINED
     }
 
 
@@ -281,15 +282,15 @@
     made.run(0.3)
     other = made.node_by_name["p9"]
     now = made.clock.now
-    assert other.quarantine.standing(INNOCENT, now) is Standing.SUSPECT
-    other.quarantine.answered(INNOCENT, now)
+    assert other.quarantine.verdict(INNOCENT, now) is Verdict.SUSPECTED
+    other.quarantine.record_success(INNOCENT, now)
     made.tick_in(other, 0.0)
     made.run(CONTACT)
     standings = {
-        one.quarantine.standing(INNOCENT, made.clock.now)
+        one.quarantine.verdict(INNOCENT, made.clock.now)
         for one in made.node_by_name.values()
     }
-    assert standings == {Standing.CLEAR}
+    assert standings == {Verdict.CLEAR}
 
 
 def test_a_fleet_that_agrees_tells_nothing_more():
@@ -304,10 +305,10 @@
 
 def test_much_evidence_is_told_in_messages_of_a_datagram():
     one = quarantines.Quarantine()
-    for number in range(quarantines.MOST):
+    for number in range(quarantines.MAX_CASES):
         crash(one, number << 32, 0.0, b"%016d" % number, b"%016d" % -number)
-    evidence = one.everything(1.0)
-    size = quarantine_sync.CASES_A_MESSAGE
+    evidence = one.all_evidence(1.0)
+    size = quarantine_sync.MAX_CASES_PER_MESSAGE
     for start in range(0, len(evidence), size):
         part = tuple(evidence[start : start + size])
         sender = messages.Sender("a-name-of-a-process", "10.10.10.10:65535")
@@ -319,15 +320,15 @@
 def test_a_clearing_that_comes_before_the_accusation_counts(order):
     one, other = quarantines.Quarantine(), quarantines.Quarantine()
     crash(one, 1, 0.0, INNOCENT, DEADLY)
-    accused = one.everything(0.0)
-    one.answered(INNOCENT, 0.1)
-    cleared = one.everything(0.2)
+    accused = one.all_evidence(0.0)
+    one.record_success(INNOCENT, 0.1)
+    cleared = one.all_evidence(0.2)
     crash(one, 2, 0.3, DEADLY)
-    held = one.everything(0.4)
+    held = one.all_evidence(0.4)
     for number in order:
-        other.learn((accused, cleared, held)[number], 0.5)
-    assert other.standing(INNOCENT, 0.6) is Standing.CLEAR
-    assert other.standing(DEADLY, 0.6) is Standing.HELD
+        other.merge((accused, cleared, held)[number], 0.5)
+    assert other.verdict(INNOCENT, 0.6) is Verdict.CLEAR
+    assert other.verdict(DEADLY, 0.6) is Verdict.QUARANTINED
 
 
 def test_both_sides_of_a_difference_know_all_after_one_exchange():
@@ -336,13 +337,13 @@
     for name, fingerprints in (("p0", DEADLY), ("p1", OTHER)):
         quarantine = made.node_by_name[name].quarantine
         crash(quarantine, ord(name[1]), made.clock.now, fingerprints)
-        quarantine.take_news(made.clock.now)
+        quarantine.take_changes(made.clock.now)
     first, second = made.node_by_name.values()
     first.neighbours.paused()
     made.run(0.01)
     for node in (first, second):
         found = {
             one.fingerprint
-            for one in node.quarantine.everything(made.clock.now)
+            for one in node.quarantine.all_evidence(made.clock.now)
         }
         assert found == {DEADLY, OTHER}
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -155,7 +155,7 @@
         assert (await fleet.ask()).status == 502
         assert fleet.targets[0].played == [fault]
         one = fleet.proxies[0]
-        assert one.quarantine.everything(one.clock.monotonic()) == []
+        assert one.quarantine.all_evidence(one.clock.monotonic()) == []
 
     first = processes.record(1, r=processes.route("non_idempotent"))
     processes.play(work, [[fault]], first=first)
@@ -171,7 +171,7 @@
         target.born += scripted.RESTART_MS
         life = announcement.Life(target.name, target.born)
         fleet.announce(one, 0, life=life)
-        (found,) = one.quarantine.everything(one.clock.monotonic())
+        (found,) = one.quarantine.all_evidence(one.clock.monotonic())
         assert len(found.crashes) == 1
 
     first = processes.record(1, r=processes.route("non_idempotent"))
@@ -187,7 +187,7 @@
         one.announced.left(announcement.Life(target.name))
         target.crash()
         assert (await runs).status == 502
-        assert one.quarantine.everything(one.clock.monotonic()) == []
+        assert one.quarantine.all_evidence(one.clock.monotonic()) == []
 
     first = processes.record(1, r=processes.route("non_idempotent"))
     processes.play(work, [[]], first=first)
@@ -212,7 +212,7 @@
             lambda: (
                 fleet.meets()
                 and all(
-                    one.quarantine.held(one.clock.monotonic())
+                    one.quarantine.quarantined(one.clock.monotonic())
                     for one in fleet.proxies
                 )
             )
@@ -269,7 +269,7 @@
         target.crashes_on = b""
         target.script[:] = ["error"]
         await fleet.ask(0, "/a/deadly")
-        (found,) = one.quarantine.everything(now)
+        (found,) = one.quarantine.all_evidence(now)
         assert [crash.void for crash in found.crashes] == [False]
 
     first = processes.record(1, r=processes.route("idempotent"))
@@ -280,14 +280,14 @@
     """A process knows that the deadly request crashes targets."""
     now = one.clock.monotonic()
     for number in range(ENOUGH):
-        one.quarantine.crashed({deadly_fingerprint()}, number, now)
+        one.quarantine.record_crash({deadly_fingerprint()}, number, now)
     # Others are not told, so that each has to see to it by itself.
-    one.quarantine.take_news(now)
+    one.quarantine.take_changes(now)
 
 
 def deadly_fingerprint() -> bytes:
     none = tuple(b"" for _ in dialect.OWN.credentials)
-    return fingerprint.of(b"GET", b"h", b"/a/deadly", none, 0, b"")
+    return fingerprint.compute(b"GET", b"h", b"/a/deadly", none, 0, b"")
 
 
 def test_an_entry_that_knows_refuses_at_once():
@@ -351,7 +351,7 @@
         await helper.until(lambda: one.beside.running == 0)
         target.crash()
         await fleet.ask()
-        found = one.quarantine.everything(one.clock.monotonic())
+        found = one.quarantine.all_evidence(one.clock.monotonic())
         assert deadly_fingerprint() in [case.fingerprint for case in found]
 
     processes.play(work, [[]])
@@ -362,7 +362,9 @@
         one, other = fleet.proxies
         hold(other)
         one.neighbours.paused()
-        await helper.until(lambda: one.quarantine.held(one.clock.monotonic()))
+        await helper.until(
+            lambda: one.quarantine.quarantined(one.clock.monotonic())
+        )
 
     processes.play(work, [[], []])
 
@@ -381,8 +383,8 @@
 def suspect(one) -> None:
     """A process knows of one crash under the deadly request."""
     now = one.clock.monotonic()
-    one.quarantine.crashed({deadly_fingerprint(), b"another"}, 1, now)
-    one.quarantine.take_news(now)
+    one.quarantine.record_crash({deadly_fingerprint(), b"another"}, 1, now)
+    one.quarantine.take_changes(now)
 
 
 def test_what_is_held_back_is_refused_where_slots_are_full_too():
@@ -456,7 +458,7 @@
         target.script.append("reset")
         assert (await fleet.ask()).status == 502
         fleet.announce(one, 0, life=announcement.Life("t9"))
-        assert len(one.quarantine.everything(one.clock.monotonic())) == 1
+        assert len(one.quarantine.all_evidence(one.clock.monotonic())) == 1
 
     first = processes.record(1, r=processes.route("non_idempotent"))
     processes.play(work, [["reset"]], first=first)
