--- a/forklift/expressions.py
+++ b/forklift/expressions.py
@@ -1,10 +1,11 @@
-"""Compiles and evaluates the expressions of policy programs.
-
-The language is the Common Expression Language: it always ends and has no
-side effects. An expression is compiled once and tried on sample values
-before a policy is accepted; one that fails while it serves falls back to the
-default given with it, and counts the failure. The defaults of forklift are
-functions of its own, so the library is loaded only where a policy is written.
+"""Compiles and evaluates the expressions in policy files.
+
+Expressions are written in the Common Expression Language (CEL), which always
+terminates and has no side effects. An expression is compiled once and
+evaluated on sample values before a policy is accepted. If it fails later, the
+failure is counted and the default of the expression applies. Built-in
+expressions are Python functions, so the CEL library is loaded only if a policy
+file defines an expression.
 """
 
 import collections
@@ -19,20 +20,20 @@
 
 
 class ExpressionError(errors.UserError):
-    """An expression can't be compiled, or gives the wrong kind of value."""
+    """An expression does not compile or returns a value of the wrong type."""
 
 
 class Evaluator(Protocol):
-    """Anything that a policy evaluates."""
+    """A compiled or built-in expression of a policy."""
 
     text: str
 
     def evaluate(self, **values: object) -> bool | float:
-        """The value for some variables."""
+        """Returns the value of the expression for the given variables."""
 
 
 class BuiltIn:
-    """A default: an expression for readers, a function for the process.
+    """A Python function with its equivalent CEL text for documentation.
 
     >>> BuiltIn("status >= 500", lambda status: status >= 500).evaluate(
     ...     status=503)
@@ -49,7 +50,7 @@
 
 
 class Expression:
-    """A compiled expression with a default for run-time failures."""
+    """A compiled CEL expression with a default value for run-time failures."""
 
     def __init__(
         self,
@@ -57,22 +58,26 @@
         sample: Mapping[str, object],
         default: bool | float,
     ):
-        """Compiles and tries the expression.
+        """Compiles the expression and evaluates it on the sample.
 
         Args:
             text: The expression.
-            sample: Every variable it may use, with a value of its type.
-            default: Value where it fails; it also sets the type.
+            sample: All variables that the expression may use, each with a
+                value of its type.
+            default: Value to return if an evaluation fails. Its type is the
+                type that the expression must return.
 
         Raises:
-            ExpressionError: With the remedy in the message.
+            ExpressionError: If the expression is too long, does not compile,
+                or returns another type.
         """
-        # Loading it costs 0.2 s and 10 MB, which most processes never need.
+        # Imported here because loading the library takes 0.2 s and 10 MB, and
+        # most processes use built-in expressions only.
         import cel  # noqa: PLC0415
 
         self.text = text
         self._default = default
-        self._kind = bool if isinstance(default, bool) else float
+        self._type = bool if isinstance(default, bool) else float
         if len(text) > MAX_CHARACTERS:
             raise ExpressionError(
                 f"{len(text)} characters; shorten it to {MAX_CHARACTERS}"
@@ -81,20 +86,21 @@
             self._program = cel.compile(text)
             value = self._program.execute(dict(sample))
         except Exception as error:
-            # The library raises many kinds; all mean an unusable expression.
-            first = str(error).splitlines()[0]
+            # The library raises many exception types; each of them means that
+            # the expression is unusable.
+            message = str(error).splitlines()[0]
             known = ", ".join(sorted(sample))
             raise ExpressionError(
-                f"{first}; use only the variables {known}"
+                f"{message}; use only the variables {known}"
             ) from error
-        if not self._fits(value):
+        if not self._has_type(value):
             raise ExpressionError(
-                f"gives a {type(value).__name__}; it must give a "
-                f"{self._kind.__name__}"
+                f"returns a {type(value).__name__}; it must return a "
+                f"{self._type.__name__}"
             )
 
     def evaluate(self, **values: object) -> bool | float:
-        """Evaluates; gives the default where that fails.
+        """Returns the value of the expression, or the default if it fails.
 
         >>> Expression("status >= 500", {"status": 1}, False).evaluate(
         ...     status=503)
@@ -105,12 +111,12 @@
         except Exception:
             failures_by_expression[self.text] += 1
             return self._default
-        if not self._fits(value):
+        if not self._has_type(value):
             failures_by_expression[self.text] += 1
             return self._default
-        return self._kind(value)
+        return self._type(value)
 
-    def _fits(self, value: object) -> bool:
-        if self._kind is bool:
+    def _has_type(self, value: object) -> bool:
+        if self._type is bool:
             return isinstance(value, bool)
         return isinstance(value, (int, float)) and not isinstance(value, bool)
--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -13,7 +13,6 @@
 from collections.abc import Callable
 
 from forklift import admission
-from forklift import balancing_algorithms
 from forklift import health
 from forklift import latency
 from forklift import messages
@@ -23,6 +22,7 @@
 from forklift import rendezvous
 from forklift import response_sizes
 from forklift import retry_budget
+from forklift import spread
 from forklift import target_view
 
 State = messages.TargetState
@@ -472,7 +472,7 @@
         candidates = [
             self._candidate(program, requirements, view, now) for view in pool
         ]
-        algorithm = balancing_algorithms.algorithm_by_name[program.spread]
+        algorithm = spread.algorithm_by_name[program.spread]
         name = algorithm(candidates, self._rng).name
         return next(view for view in pool if view.name == name)
 
@@ -482,7 +482,7 @@
         requirements: Requirements,
         view: TargetView,
         now: float,
-    ) -> balancing_algorithms.Candidate:
+    ) -> spread.Candidate:
         load = view.load(now)
         weight = 1.0
         if program.weight is not policy.EQUAL_WEIGHT:
@@ -497,11 +497,11 @@
             if requirements.repeatable
             else health.FAILS_WHEN_BAD
         )
-        return balancing_algorithms.Candidate(
+        return spread.Candidate(
             view.name,
             load,
             view.slots,
-            max(balancing_algorithms.MIN_WEIGHT, weight),
+            max(spread.MIN_WEIGHT, weight),
             view.same_domain,
             view.pick_count,
             loss * view.risk(now),
--- a/forklift/paths.py
+++ b/forklift/paths.py
@@ -1,20 +1,31 @@
-"""What an entry knows of its paths to other processes.
+"""Tracks which other processes are reachable from this one.
 
-A path is doubted, not the target behind it, when the other process owes a
-sign of life and gives none, or when its connection breaks. It comes back only
-when the process is heard; beats ask for that, so no request is spent on it.
+A process becomes unreachable when its connection breaks or when an expected
+reply does not arrive in time; the health of its targets is not affected. It
+becomes reachable again as soon as a message from it arrives. Heartbeats ask
+for such a message, so no request is sent to an unreachable process.
 """
 
-# Seconds without a sign that condemn a path. A peer that owes an answer gives
-# one each 0.2 s, so this is two that did not come, and a tick.
+# Seconds without an expected reply after which a process is unreachable. Peers
+# send a keep-alive every 0.2 s while a reply is due, so two are missing and one
+# tick has passed.
 REPLY_TIMEOUT = 0.5
-# First pause before an avoided path is asked for a sign, and the longest.
+# Seconds until the first heartbeat to an unreachable process, and the maximum
+# after repeated failures.
 INITIAL_BACKOFF = 0.25
 MAX_BACKOFF = 1.0
 
 
 class _Peer:
-    """The path to one process."""
+    """Reachability of one process.
+
+    Attributes:
+        failures: Consecutive failures.
+        unreachable: Whether no requests may be sent to it.
+        next_heartbeat_at: Monotonic seconds.
+        reply_expected_since: Monotonic seconds; None if no reply is due.
+        cause: Cause of the last failure.
+    """
 
     def __init__(self):
         self.failures = 0
@@ -25,63 +36,67 @@
 
 
 class Reachability:
-    """All paths of one process, by the name of the other."""
+    """Reachability of all other processes, by process name."""
 
     def __init__(self):
         self._peer_by_process: dict[str, _Peer] = {}
 
     @property
     def needs_checks(self) -> bool:
-        """Whether any path owes a sign, or is to be asked for one."""
+        """Whether a reply is due or a process is unreachable."""
         return any(
             peer.unreachable or peer.reply_expected_since is not None
             for peer in self._peer_by_process.values()
         )
 
     def is_reachable(self, process: str) -> bool:
-        """Whether requests may take the path."""
+        """Returns whether requests may be sent to a process."""
         peer = self._peer_by_process.get(process)
         return peer is None or not peer.unreachable
 
     def expect_reply(self, process: str, now: float) -> None:
-        """Something was sent that the other side owes a sign for."""
+        """Starts the reply timeout, unless it is running already."""
         peer = self._peer_by_process.setdefault(process, _Peer())
         if peer.reply_expected_since is None:
             peer.reply_expected_since = now
 
     def record_reply(self, process: str) -> bool:
-        """A sign arrived; True when the path had been avoided."""
+        """Records a message from a process.
+
+        Returns:
+            Whether the process was unreachable before.
+        """
         peer = self._peer_by_process.get(process)
         if peer is None:
             return False
-        unreachable = peer.unreachable
+        was_unreachable = peer.unreachable
         peer.reply_expected_since = None
         peer.failures = 0
         peer.unreachable = False
-        return unreachable
+        return was_unreachable
 
     def cancel_expected_reply(self, process: str) -> None:
-        """Nothing is owed any more, as no request is in flight."""
+        """Stops the reply timeout, as no request is in flight."""
         peer = self._peer_by_process.get(process)
         if peer is not None:
             peer.reply_expected_since = None
 
     def mark_unreachable(self, process: str, cause: str, now: float) -> None:
-        """The path failed; it is avoided until the process is heard."""
+        """Marks a process as unreachable until a message from it arrives."""
         peer = self._peer_by_process.setdefault(process, _Peer())
         peer.failures += 1
-        wait = INITIAL_BACKOFF * 2 ** min(peer.failures - 1, 8)
-        peer.next_heartbeat_at = now + min(MAX_BACKOFF, wait)
+        delay = INITIAL_BACKOFF * 2 ** min(peer.failures - 1, 8)
+        peer.next_heartbeat_at = now + min(MAX_BACKOFF, delay)
         peer.unreachable = True
         peer.reply_expected_since = None
         peer.cause = cause
 
     def remove(self, process: str) -> None:
-        """The process is dead, or has left."""
+        """Removes a process that is dead or has left."""
         self._peer_by_process.pop(process, None)
 
     def take_due_heartbeats(self, now: float) -> list[str]:
-        """Processes on avoided paths that are to be asked for a sign."""
+        """Returns the unreachable processes to which a heartbeat is due."""
         due = []
         for process, peer in self._peer_by_process.items():
             if peer.unreachable and now >= peer.next_heartbeat_at:
@@ -90,7 +105,7 @@
         return due
 
     def take_timed_out(self, now: float) -> list[str]:
-        """Processes whose sign is overdue; their paths failed."""
+        """Marks processes with an overdue reply and returns their names."""
         timed_out = [
             process
             for process, peer in self._peer_by_process.items()
@@ -102,7 +117,7 @@
         return timed_out
 
     def unreachable_causes(self) -> dict[str, str]:
-        """Processes whose paths are avoided now, with the cause."""
+        """Returns the cause of failure by unreachable process."""
         return {
             process: peer.cause
             for process, peer in self._peer_by_process.items()
--- a/forklift/policy.py
+++ b/forklift/policy.py
@@ -1,24 +1,26 @@
-"""Policy programs: how traffic is spread, what is sick, what may be retried.
+"""Policies: load balancing, failure detection and retries for each service.
 
-A policy is one INI file: a [policy] section, a [service NAME] section for
-each service with programs of its own, and [service default] for all others.
-Which services and routes there are is said by the operator's configuration.
+A policy is an INI file with a [policy] section, a [service NAME] section for
+each service that needs its own rules, and a [service default] section for all
+others. The services and routes themselves are defined in the configuration.
 """
 
 import dataclasses
 import functools
 
-from forklift import balancing_algorithms
 from forklift import errors
 from forklift import expressions
 from forklift import ini
+from forklift import spread
 
 DEFAULT = "default"
-# Statuses of targets that another target may do better.
+# Response statuses that are retried on another target if the request is
+# idempotent.
 _RETRIED_STATUSES = (500, 502, 503, 504)
-_NOT_FAILED = (501, 503)
+# Statuses from 500 that do not count as a failure of the target.
+_NON_FAILURE_STATUSES = (501, 503)
 
-_ANSWER_SAMPLE = {"status": 200}
+_RESPONSE_SAMPLE = {"status": 200}
 _RETRY_SAMPLE = {
     "attempt": 1,
     "status": 503,
@@ -46,35 +48,37 @@
     return parse
 
 
-def _failed(status: int) -> bool:
-    return status >= 500 and status not in _NOT_FAILED
+def _is_failed_status(status: int) -> bool:
+    return status >= 500 and status not in _NON_FAILURE_STATUSES
 
 
-def _retried(outcome: str, repeatable: bool, status: int, **_: object) -> bool:
+def _should_retry(
+    outcome: str, repeatable: bool, status: int, **_: object
+) -> bool:
     if outcome == "not-run":
         return True
     failed = outcome == "unknown" or status in _RETRIED_STATUSES
     return repeatable and failed
 
 
-_FAILED = expressions.BuiltIn(
-    "status >= 500 && status != 503 && status != 501", _failed
+_FAILURE_RULE = expressions.BuiltIn(
+    "status >= 500 && status != 503 && status != 501", _is_failed_status
 )
-_RETRIED = expressions.BuiltIn(
+_RETRY_RULE = expressions.BuiltIn(
     "outcome == 'not-run' || (repeatable && (outcome == 'unknown' || "
     "status in [500, 502, 503, 504]))",
-    _retried,
+    _should_retry,
 )
 EQUAL_WEIGHT = expressions.BuiltIn("1.0", lambda **_: 1.0)
 
 
 @dataclasses.dataclass(frozen=True)
 class ServicePolicy:
-    """Section [service NAME]."""
+    """Rules for a service, from the section [service NAME]."""
 
     name: str
     spread: str = ini.key(
-        ini.one_of(*sorted(balancing_algorithms.algorithm_by_name)),
+        ini.one_of(*sorted(spread.algorithm_by_name)),
         "how a target is picked",
         "least-cost",
     )
@@ -84,19 +88,19 @@
         EQUAL_WEIGHT,
     )
     failure: expressions.Evaluator = ini.key(
-        _expression(_ANSWER_SAMPLE, True),
+        _expression(_RESPONSE_SAMPLE, True),
         "whether an answer counts as a failure, from status",
-        _FAILED,
+        _FAILURE_RULE,
     )
     retry: expressions.Evaluator = ini.key(
         _expression(_RETRY_SAMPLE, False),
         "whether to try another target, from attempt, status, outcome, "
         "reason, repeatable, method, remaining",
-        _RETRIED,
+        _RETRY_RULE,
     )
 
     def is_failure(self, status: int) -> bool:
-        """Whether an answer counts as a failure of its target."""
+        """Returns whether a response counts as a failure of its target."""
         return _is_failure(self.failure, status)
 
 
@@ -107,25 +111,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class PolicySection:
-    """Section [policy]."""
+    """Contents of the section [policy]."""
 
     name: str = ini.key(ini.name, "name of the policy")
 
 
 @dataclasses.dataclass(frozen=True)
 class Policy:
-    """A checked policy.
+    """A validated policy.
 
     Attributes:
-        name: Its name.
-        service_by_name: The services that it names.
+        name: Name of the policy.
+        service_by_name: Rules by service name; may contain `DEFAULT`.
     """
 
     name: str
     service_by_name: dict[str, ServicePolicy]
 
     def program(self, service: str) -> ServicePolicy:
-        """The program of a service.
+        """Returns the rules for a service.
 
         >>> BUILT_IN.program("s").spread
         'least-cost'
@@ -140,10 +144,14 @@
 
 
 def parse(file: str, content: str) -> Policy:
-    """Reads and checks a policy.
+    """Parses and validates a policy file.
+
+    Args:
+        file: Name of the file, for error messages.
+        content: Text of the file.
 
     Raises:
-        errors.FileProblems: With every mistake in it.
+        errors.FileProblems: If the file is invalid; lists all problems.
     """
     reader = ini.Reader(file, content)
     header = None
@@ -152,7 +160,7 @@
         kind, _, name = section.partition(" ")
         if section == "policy":
             header = reader.read(section, PolicySection)
-        elif kind == "service" and _is_name(reader, section, name):
+        elif kind == "service" and _is_valid_name(reader, section, name):
             service = reader.read(section, ServicePolicy, name=name)
             if service is not None:
                 services[name] = service
@@ -170,7 +178,7 @@
 
 
 def check(file: str, content: str) -> tuple[errors.Problem, ...]:
-    """Returns every mistake in a policy."""
+    """Returns all problems of a policy file."""
     try:
         parse(file, content)
     except errors.FileProblems as found:
@@ -178,10 +186,10 @@
     return ()
 
 
-def _is_name(reader: ini.Reader, section: str, name: str) -> bool:
+def _is_valid_name(reader: ini.Reader, section: str, name: str) -> bool:
     try:
         ini.name(name)
     except ValueError as error:
-        reader.report(section, "", "the name is not usable", str(error))
+        reader.report(section, "", "the service name is invalid", str(error))
         return False
     return True
--- a/forklift/rendezvous.py
+++ b/forklift/rendezvous.py
@@ -1,8 +1,8 @@
-"""Bounded, stable choices among many names, the same on every process.
+"""Rendezvous hashing (Thaler and Ravishankar, 1998).
 
-Rendezvous hashing (Thaler and Ravishankar, 1998): each name gets a score with
-the chooser's salt, the highest win, and a change of one name moves only that
-name's share.
+Each name is scored by a hash of a salt and the name, and the highest scores
+are selected. All processes compute the same ranking, and adding or removing a
+name moves only the share of that name.
 """
 
 import functools
@@ -10,18 +10,18 @@
 
 import xxhash
 
-# Scores that are remembered: of a large fleet, for each purpose.
+# Entries of the score cache; enough for a large fleet and several salts.
 CACHED_SCORES = 8192
 
 
 @functools.lru_cache(CACHED_SCORES)
 def score(salt: str, name: str) -> int:
-    """A score that every process computes alike."""
+    """Returns the score of a name, which is the same on all processes."""
     return xxhash.xxh3_64_intdigest(f"{salt}\0{name}".encode())
 
 
 def rank(salt: str, names: Iterable[str]) -> list[str]:
-    """Names from the highest score to the lowest.
+    """Returns the names ordered by descending score.
 
     >>> rank("r", ["a", "b"]) == rank("r", ["b", "a"])
     True
@@ -30,5 +30,5 @@
 
 
 def select(salt: str, names: Iterable[str], count: int) -> list[str]:
-    """At most `count` names."""
+    """Returns at most `count` names, those with the highest scores."""
     return rank(salt, names)[:count]
--- a/forklift/routing.py
+++ b/forklift/routing.py
@@ -1,8 +1,8 @@
-"""Finds the service of a request by host and path prefix.
+"""Routing table: maps host and path prefix to a route.
 
-A dictionary by host holds a dictionary of prefixes; a look-up tries the
-path's own prefixes from the longest, so its cost follows the depth of the
-path and not the number of routes.
+The table is a dictionary by host of dictionaries by prefix. A lookup tries
+the prefixes of the request path from the longest to the shortest, so its cost
+depends on the depth of the path and not on the number of routes.
 """
 
 import dataclasses
@@ -12,18 +12,18 @@
 from typing import Protocol
 from typing import TypeVar
 
-P = TypeVar("P", bound="Routable")
+R = TypeVar("R", bound="Routable")
 ANY_HOST = "*"
 MAX_DEPTH = 32
 
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """One route.
+    """Assigns the requests for a host and path prefix to a service.
 
     Attributes:
-        name: Name in the policy.
-        host: Host, lower case, without port; `ANY_HOST` for every host.
+        name: Name of the route.
+        host: Host in lower case without port, or `ANY_HOST`.
         prefix: Path prefix of whole segments, starting with "/".
         service: Name of the service.
     """
@@ -35,7 +35,7 @@
 
 
 def normalise_prefix(prefix: str) -> str:
-    """Returns a prefix without a slash at its end.
+    """Returns a prefix without trailing slashes.
 
     >>> normalise_prefix("/copies/")
     '/copies'
@@ -46,36 +46,37 @@
 
 
 class Routable(Protocol):
-    """What a table holds: anything with a host and a path prefix."""
+    """Anything with a host and a path prefix."""
 
     host: str
     prefix: str
 
 
-class Table(Generic[P]):
-    """Routes, looked up by host and path.
+class Table(Generic[R]):
+    """Finds the route for a host and path by longest prefix match.
 
-    A prefix stands for whole segments, so a slash at its end says nothing,
-    unless prefixes are literal: then it holds only for paths that have it.
+    A prefix matches whole path segments, so a trailing slash is ignored. If
+    prefixes are literal, a prefix with a trailing slash matches only paths
+    that have the slash, too.
     """
 
-    def __init__(self, routes: Iterable[P], literal: bool = False):
-        self._by_prefix_by_host: dict[str, dict[str, P]] = {}
+    def __init__(self, routes: Iterable[R], literal: bool = False):
+        self._routes_by_host: dict[str, dict[str, R]] = {}
         self.size = 0
         for route in routes:
-            by_prefix = self._by_prefix_by_host.setdefault(route.host, {})
+            route_by_prefix = self._routes_by_host.setdefault(route.host, {})
             prefix = route.prefix
             if not literal:
                 prefix = normalise_prefix(prefix) or "/"
-            by_prefix[prefix] = route
+            route_by_prefix[prefix] = route
             self.size += 1
 
-    def __iter__(self) -> Iterator[P]:
-        for by_prefix in self._by_prefix_by_host.values():
-            yield from by_prefix.values()
+    def __iter__(self) -> Iterator[R]:
+        for route_by_prefix in self._routes_by_host.values():
+            yield from route_by_prefix.values()
 
-    def find(self, host: str, path: str) -> P | None:
-        """Returns the route with the longest prefix; exact hosts go first.
+    def find(self, host: str, path: str) -> R | None:
+        """Returns the route with the longest prefix; exact hosts win.
 
         >>> table = Table([Route("a", "*", "/", "x"),
         ...                Route("b", "h", "/copies", "y")])
@@ -85,25 +86,25 @@
         'x'
         """
         prefixes = _prefixes(path)
-        for name in (_bare_host(host), ANY_HOST):
-            by_prefix = self._by_prefix_by_host.get(name)
-            if by_prefix is None:
+        for name in (_strip_port(host), ANY_HOST):
+            route_by_prefix = self._routes_by_host.get(name)
+            if route_by_prefix is None:
                 continue
             for prefix in prefixes:
-                route = by_prefix.get(prefix)
+                route = route_by_prefix.get(prefix)
                 if route is not None:
                     return route
         return None
 
 
-def _bare_host(host: str) -> str:
+def _strip_port(host: str) -> str:
     if host.startswith("["):
         return host.partition("]")[0].lower() + "]"
     return host.partition(":")[0].lower()
 
 
 def _prefixes(path: str) -> list[str]:
-    """Prefixes that a path may have, the longest first.
+    """Returns the prefixes that may match a path, the longest first.
 
     >>> _prefixes("/a/b?c")
     ['/a/b', '/a/', '/a', '/']
--- a/test/test_paths.py
+++ b/test/test_paths.py
@@ -1,24 +1,24 @@
-"""Paths to other processes: silence, avoidance, return."""
+"""Reachability of other processes."""
 
 from forklift import paths
 
 
-def test_a_path_that_owes_a_sign_is_condemned_and_asked_again():
-    known = paths.Reachability()
-    known.expect_reply("p", 0.0)
-    assert known.take_timed_out(paths.REPLY_TIMEOUT / 2) == []
-    assert known.take_timed_out(paths.REPLY_TIMEOUT) == ["p"]
-    assert not known.is_reachable("p")
-    assert known.take_due_heartbeats(paths.REPLY_TIMEOUT) == []
-    assert known.take_due_heartbeats(
+def test_process_without_an_expected_reply_is_unreachable_until_heard():
+    tracker = paths.Reachability()
+    tracker.expect_reply("p", 0.0)
+    assert tracker.take_timed_out(paths.REPLY_TIMEOUT / 2) == []
+    assert tracker.take_timed_out(paths.REPLY_TIMEOUT) == ["p"]
+    assert not tracker.is_reachable("p")
+    assert tracker.take_due_heartbeats(paths.REPLY_TIMEOUT) == []
+    assert tracker.take_due_heartbeats(
         paths.REPLY_TIMEOUT + paths.INITIAL_BACKOFF
     ) == ["p"]
-    known.record_reply("p")
-    assert known.is_reachable("p")
+    tracker.record_reply("p")
+    assert tracker.is_reachable("p")
 
 
-def test_a_path_with_nothing_owed_is_never_silent():
-    known = paths.Reachability()
-    known.expect_reply("p", 0.0)
-    known.cancel_expected_reply("p")
-    assert known.take_timed_out(100.0) == []
+def test_process_times_out_only_while_a_reply_is_expected():
+    tracker = paths.Reachability()
+    tracker.expect_reply("p", 0.0)
+    tracker.cancel_expected_reply("p")
+    assert tracker.take_timed_out(100.0) == []
