--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -116,7 +116,7 @@
         limits: Bounds on callers.
         source: The record it was decoded from.
         callers: Who may call; None where nobody is asked for a key.
-        without_keys: Makes of the record what peers are handed.
+        with_key_digests: Makes of the record what peers are handed.
     """
 
     version: int
@@ -125,7 +125,7 @@
     limits: CallerLimits
     source: bytes = b""
     callers: organisations.Organisations | None = None
-    without_keys: Callable[[bytes], bytes] = bytes
+    with_key_digests: Callable[[bytes], bytes] = bytes
 
     @property
     def limits_callers(self) -> bool:
@@ -135,7 +135,7 @@
     @functools.cached_property
     def record(self) -> bytes:
         """The record that peers are handed, which holds no key."""
-        return self.without_keys(self.source)
+        return self.with_key_digests(self.source)
 
     def organisation(self, name: str) -> organisations.Organisation | None:
         """An organisation by its name, where it is known."""
--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -164,12 +164,12 @@
             return self._answer(message, now)
         if message.version > self._version:
             born = now - message.age
-            holder = _Holder(address, message.version, born, message.again)
+            holder = _Holder(address, message.version, born, message.is_retry)
             self._newer(name, holder)
             return self._ask(now)
         left_for = self._left_to_store(name)
         if message.confirm or self._late(message.version, now, left_for):
-            return [gossip.Send(address, self._own(now), message.again)]
+            return [gossip.Send(address, self._own(now), message.is_retry)]
         return []
 
     def offered(self, offer: messages.CatalogOffer, now: float) -> None:
@@ -183,7 +183,7 @@
         self, now: float, confirm: bool = False, again: bool = False
     ) -> messages.CatalogVersion:
         return messages.CatalogVersion(
-            messages.sender(self._directory.own),
+            messages.sender_of(self._directory.own),
             self._directory.own.boot,
             self._version,
             self._age(now),
@@ -237,12 +237,12 @@
             return []
         current = self._in_force.catalog
         offer = messages.CatalogOffer(
-            messages.sender(self._directory.own),
+            messages.sender_of(self._directory.own),
             current.version,
             zlib.compress(current.record),
             self._age(now),
         )
-        return [gossip.Send(request.sender.control, offer, request.again)]
+        return [gossip.Send(request.sender.control, offer, request.is_retry)]
 
     # What this process lacks.
 
@@ -270,7 +270,7 @@
         self._asking.note(now)
         own = self._directory.own
         request = messages.CatalogRequest(
-            messages.sender(own), own.boot, self._version, again
+            messages.sender_of(own), own.boot, self._version, again
         )
         return [gossip.Send(holder.address, request, again)]
 
--- a/forklift/errors.py
+++ b/forklift/errors.py
@@ -98,7 +98,7 @@
         super().__init__(f"{message}; {remedy}")
 
 
-class InvariantBroken(ForkliftError):
+class InvariantViolation(ForkliftError):
     """A promise was seen broken inside the program."""
 
     def __init__(self, promise: str, detail: str):
--- a/forklift/gossip.py
+++ b/forklift/gossip.py
@@ -186,13 +186,13 @@
         back = message.sender.control
         if isinstance(message, messages.Ping) and message.wants_answer:
             pong = messages.Pong(
-                messages.sender(self.directory.own),
+                messages.sender_of(self.directory.own),
                 message.number,
                 self.directory.digest(),
                 self._rumors(),
                 self._evidence(),
             )
-            sends.append(Send(back, pong, message.again))
+            sends.append(Send(back, pong, message.is_retry))
         elif isinstance(message, messages.Pong):
             self._waiting_by_number.pop(message.number, None)
             self._misses_by_name.pop(message.sender.name, None)
@@ -217,7 +217,7 @@
         for name in self.peers()[: FAN_OUT * 4]:
             address = self.directory.member_by_name[name].info.control
             ping = messages.Ping(
-                own, 0, 0.0, 0, (rumor,), evidence=self._evidence()
+                own, 0, 0.0, 0, (rumor,), evidence_digest=self._evidence()
             )
             sends.append(Send(address, ping))
         return sends
--- a/forklift/ini.py
+++ b/forklift/ini.py
@@ -59,7 +59,7 @@
     return bare
 
 
-def whole(low: int, high: int) -> Callable[[str], int]:
+def integer(low: int, high: int) -> Callable[[str], int]:
     """A whole number within bounds."""
 
     def parse(value: str) -> int:
@@ -117,10 +117,10 @@
     return value.strip()
 
 
-def place(value: str) -> str:
+def endpoint(value: str) -> str:
     """An address where somebody listens: its port is not left open.
 
-    >>> place("10.0.0.7:80")
+    >>> endpoint("10.0.0.7:80")
     '10.0.0.7:80'
     """
     found = address(value)
--- a/forklift/ports.py
+++ b/forklift/interfaces.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Found:
+class ConfigurationRead:
     """What a look for the configuration found.
 
     Attributes:
@@ -30,14 +30,16 @@
 
     on_lost: Callable[[], None]
 
-    async def configuration(self) -> Found:
+    async def configuration(self) -> ConfigurationRead:
         """The newest configuration.
 
         Raises:
             errors.RegistryUnavailable: No answer.
         """
 
-    async def next_configuration(self, position: int, wait: float) -> Found:
+    async def next_configuration(
+        self, position: int, wait: float
+    ) -> ConfigurationRead:
         """The newest configuration after a position; waits for one.
 
         Args:
--- a/forklift/unreadable.py
+++ b/forklift/invalid_input.py
@@ -26,7 +26,7 @@
 count_by_source: collections.Counter[Source] = collections.Counter()
 
 
-def note(source: Source, detail: str, **fields: object) -> None:
+def record(source: Source, detail: str, **fields: object) -> None:
     """Counts one, and logs the first, second, fourth, eighth and so on.
 
     So a writer that never ends costs some thirty lines in all.
--- a/forklift/invariants.py
+++ b/forklift/invariants.py
@@ -30,7 +30,7 @@
         `holds`, so that a caller can refuse to go on.
 
     Raises:
-        errors.InvariantBroken: When it does not hold and `FATAL` is set.
+        errors.InvariantViolation: When it does not hold and `FATAL` is set.
     """
     checks_by_promise[promise] += 1
     if holds:
@@ -38,7 +38,7 @@
     broken_by_promise[promise] += 1
     _log.error("invariant_broken", promise=promise, detail=detail, **evidence)
     if FATAL:
-        raise errors.InvariantBroken(promise, detail)
+        raise errors.InvariantViolation(promise, detail)
     return False
 
 
--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -322,9 +322,9 @@
         view.in_flight = max(0, view.in_flight - 1)
         if load is not None:
             view.update_load(load, now)
-            group.failing.told(load.failing / 100, now)
+            group.failing.told(load.failure_percent / 100, now)
             if usual is not None and load.latency > 0:
-                usual.follow(load.latency, load.spread, LATENCY_GAIN)
+                usual.follow(load.latency, load.latency_spread, LATENCY_GAIN)
 
     def record_failure(self, service: str, now: float) -> None:
         """A request of a service failed at its target."""
--- a/forklift/stories.py
+++ b/forklift/log_trace.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Line:
+class LogLine:
     """One log line.
 
     Attributes:
@@ -47,11 +47,11 @@
 _END = "request"
 
 
-def parse(lines: Iterable[str]) -> list[Line]:
+def parse(lines: Iterable[str]) -> list[LogLine]:
     """Reads log lines, in order of time; what is no log line is passed over.
 
     >>> parse(['x', '{"event": "a", "timestamp": "2", "n": 1}'])
-    [Line(at='2', event='a', fields={'n': '1'})]
+    [LogLine(at='2', event='a', fields={'n': '1'})]
     """
     found = []
     for text in lines:
@@ -68,11 +68,11 @@
             if name not in ("event", "timestamp")
         }
         at = str(read.get("timestamp", ""))
-        found.append(Line(at, str(read["event"]), fields))
+        found.append(LogLine(at, str(read["event"]), fields))
     return sorted(found, key=lambda line: line.at)
 
 
-def of_request(lines: list[Line], request: str) -> list[str]:
+def trace_request(lines: list[LogLine], request: str) -> list[str]:
     """The story of one request; empty where no line names it."""
     own = [line for line in lines if line.fields.get("request") == request]
     if not own:
@@ -84,14 +84,14 @@
     return told
 
 
-def of_target(lines: list[Line], target: str) -> list[str]:
+def trace_target(lines: list[LogLine], target: str) -> list[str]:
     """The story of one target; empty where no line names it."""
     return [
         _tell(line) for line in lines if line.fields.get("target") == target
     ]
 
 
-def _tell(line: Line) -> str:
+def _tell(line: LogLine) -> str:
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
@@ -100,7 +100,7 @@
     return f"{line.at} {line.event}: {fields}"
 
 
-def _cause(end: Line) -> str:
+def _cause(end: LogLine) -> str:
     reason = end.fields.get("reason", "")
     status = end.fields.get("status", "0")
     outcome = end.fields.get("outcome", "")
--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -93,8 +93,8 @@
             unknown.
         idle: Seconds since a request last began there.
         risk: How likely it is in a bad phase, 0 to 1.
-        spread: Standard deviation of the logarithm of that latency.
-        failing: Requests of the service that fail, of a hundred, as the
+        latency_spread: Standard deviation of the logarithm of that latency.
+        failure_percent: Requests of the service that fail, of a hundred, as the
             process beside the target sees it in its own.
     """
 
@@ -106,8 +106,8 @@
     latency: float
     idle: float = 0.0
     risk: float = 0.0
-    spread: float = 0.0
-    failing: int = 0
+    latency_spread: float = 0.0
+    failure_percent: int = 0
 
 
 # Frames on the stream between two processes.
@@ -198,18 +198,18 @@
     organisation: str = ""
 
 
-class Body(_Wire, tag=4):
+class BodyChunk(_Wire, tag=4):
     """A piece of a body, either way.
 
     Attributes:
         id: Stream number.
         data: The bytes.
-        end: Whether the body is complete with this piece.
+        is_last: Whether the body is complete with this piece.
     """
 
     id: int
     data: bytes
-    end: bool
+    is_last: bool
 
 
 class Credit(_Wire, tag=5):
@@ -219,7 +219,7 @@
     size: int
 
 
-class AnswerStart(_Wire, tag=6):
+class ResponseStart(_Wire, tag=6):
     """Head of an answer.
 
     Attributes:
@@ -269,19 +269,19 @@
     id: int
 
 
-class Beat(_Wire, tag=11):
+class KeepAlive(_Wire, tag=11):
     """A sign of life, unasked while an answer is owed, or asks for one.
 
     Attributes:
         number: Its number; 0 where nobody asked.
-        echo: Whether this is the sign; else it asks for one.
+        is_reply: Whether this is the sign; else it asks for one.
     """
 
     number: int
-    echo: bool
+    is_reply: bool
 
 
-class Fence(_Wire, tag=9):
+class FenceRequest(_Wire, tag=9):
     """Asks that a request never starts from now on.
 
     Attributes:
@@ -289,19 +289,19 @@
         boot: Boot of the sender of the request.
         seq: Its number there.
         to_boot: Boot of the guard that the request was sent to.
-        to: Name of that guard's process where the receiver is to pass the
-            question on, as the sender's own path is silent; else empty.
+        forward_to: Name of that guard's process where the receiver is to pass
+            the question on, as the sender's own path is silent; else empty.
     """
 
     id: int
     boot: int
     seq: int
     to_boot: int
-    to: str = ""
+    forward_to: str = ""
 
 
-class Fenced(_Wire, tag=10):
-    """Answer to a Fence.
+class FenceReply(_Wire, tag=10):
+    """Answer to a FenceRequest.
 
     Attributes:
         id: Stream number of the question.
@@ -312,7 +312,7 @@
     not_run: bool
 
 
-class Standing(_Wire, tag=12):
+class LoadUpdate(_Wire, tag=12):
     """A guard tells unasked how its target stands now.
 
     Attributes:
@@ -328,15 +328,15 @@
     Hello
     | Proof
     | RequestStart
-    | Body
+    | BodyChunk
     | Credit
-    | AnswerStart
+    | ResponseStart
     | Failure
     | Cancel
-    | Beat
-    | Fence
-    | Fenced
-    | Standing
+    | KeepAlive
+    | FenceRequest
+    | FenceReply
+    | LoadUpdate
 )
 
 
@@ -378,8 +378,8 @@
         started: Wall time of its start; a later boot of a name wins.
         targets: Its targets.
         config: Version of the configuration it has in force.
-        unheard: Names of peers it can't hear.
-        era: How often the store lost records, as far as it knows.
+        unreachable_peers: Names of peers it can't hear.
+        store_epoch: How often the store lost records, as far as it knows.
     """
 
     name: str
@@ -393,8 +393,8 @@
     started: float
     targets: tuple[TargetInfo, ...]
     config: int
-    unheard: tuple[str, ...] = ()
-    era: int = 0
+    unreachable_peers: tuple[str, ...] = ()
+    store_epoch: int = 0
 
 
 class Sender(_Wire):
@@ -442,9 +442,9 @@
         sent: Monotonic seconds of the sender; 0 where no answer is due.
         digest: Of all that the sender knows of processes.
         rumors: News.
-        again: Whether an earlier one was not answered, so that the answer goes
-            over a new connection.
-        evidence: Digest of the sender's quarantine; 0 of an empty one.
+        is_retry: Whether an earlier one was not answered, so that the answer
+            goes over a new connection.
+        evidence_digest: Digest of the sender's quarantine; 0 of an empty one.
     """
 
     sender: ProcessInfo
@@ -452,8 +452,8 @@
     sent: float
     digest: int
     rumors: tuple[Rumor, ...]
-    again: bool = False
-    evidence: int = 0
+    is_retry: bool = False
+    evidence_digest: int = 0
 
     @property
     def wants_answer(self) -> bool:
@@ -468,14 +468,14 @@
     number: int
     digest: int
     rumors: tuple[Rumor, ...]
-    evidence: int = 0
+    evidence_digest: int = 0
 
 
 class SyncRequest(_Wire, tag=42):
     """Asks for all that the receiver knows of processes, and its quarantine."""
 
     sender: ProcessInfo
-    evidence: int = 0
+    evidence_digest: int = 0
 
 
 class SyncReply(_Wire, tag=43):
@@ -491,13 +491,13 @@
     Attributes:
         sender: Who offers it.
         version: Its version.
-        packed: The record it was decoded from, compressed.
+        compressed: The record it was decoded from, compressed.
         age: Seconds for which it has been in force anywhere.
     """
 
     sender: Sender
     version: int
-    packed: bytes
+    compressed: bytes
     age: float = 0.0
 
 
@@ -522,8 +522,8 @@
         version: The version.
         age: Seconds for which it has been in force anywhere.
         confirm: Whether the receiver is to tell its own.
-        again: Whether an earlier message was not answered, so that the answer
-            goes over a new connection.
+        is_retry: Whether an earlier message was not answered, so that the
+            answer goes over a new connection.
     """
 
     sender: Sender
@@ -531,7 +531,7 @@
     version: int
     age: float
     confirm: bool = False
-    again: bool = False
+    is_retry: bool = False
 
 
 class CatalogRequest(_Wire, tag=53):
@@ -541,14 +541,14 @@
         sender: Who asks.
         boot: Its run.
         version: The version it has; only a newer one is wanted.
-        again: Whether an earlier request was not answered, so that the answer
-            goes over a new connection.
+        is_retry: Whether an earlier request was not answered, so that the
+            answer goes over a new connection.
     """
 
     sender: Sender
     boot: int
     version: int
-    again: bool = False
+    is_retry: bool = False
 
 
 class Crash(_Wire):
@@ -579,21 +579,21 @@
     crashes: tuple[Crash, ...]
 
 
-class Suspects(_Wire, tag=54):
+class SuspectedRequests(_Wire, tag=54):
     """Requests that may have crashed targets.
 
     Attributes:
         sender: Who tells.
         digest: Of all that the sender knows of such requests.
         evidence: News, or a part of all.
-        ask: Whether this is the last part of all it knows, and the receiver
-            is to tell its own where it knows more.
+        wants_reply: Whether this is the last part of all it knows, and the
+            receiver is to tell its own where it knows more.
     """
 
     sender: Sender
     digest: int
     evidence: tuple[Evidence, ...]
-    ask: bool = False
+    wants_reply: bool = False
 
 
 class IdleTarget(_Wire, tag=55):
@@ -610,7 +610,7 @@
     load: Load
 
 
-class KeptEvidence(_Wire, tag=23):
+class StoredEvidence(_Wire, tag=23):
     """What the store keeps of a request that is held back.
 
     Attributes:
@@ -631,7 +631,7 @@
     | LeavingTargets
     | CatalogVersion
     | CatalogRequest
-    | Suspects
+    | SuspectedRequests
     | IdleTarget
     | limit_messages.Delegation
     | limit_messages.Allocation
@@ -641,11 +641,11 @@
 _encoder = msgspec.msgpack.Encoder()
 _frames = msgspec.msgpack.Decoder(Frame)
 _records = msgspec.msgpack.Decoder(Announcement)
-_kept = msgspec.msgpack.Decoder(KeptEvidence)
+_kept = msgspec.msgpack.Decoder(StoredEvidence)
 _controls = msgspec.msgpack.Decoder(Control)
 
 
-class Malformed(errors.ForkliftError):
+class MalformedMessage(errors.ForkliftError):
     """Bytes that are no message of ours."""
 
     def __init__(self, detail: str):
@@ -654,12 +654,12 @@
         )
 
 
-def sender(info: ProcessInfo) -> Sender:
+def sender_of(info: ProcessInfo) -> Sender:
     """The short form of a process's description."""
     return Sender(info.name, info.control)
 
 
-def announcement(info: ProcessInfo) -> Announcement:
+def announcement_of(info: ProcessInfo) -> Announcement:
     """What the store keeps of a process: enough to join through it."""
     return Announcement(msgspec.structs.replace(info, targets=()))
 
@@ -677,12 +677,12 @@
     """Decodes a frame between processes.
 
     Raises:
-        Malformed: The bytes are no frame.
+        MalformedMessage: The bytes are no frame.
     """
     return _decode(_frames, data)
 
 
-def decode_record(name: str, data: bytes) -> Announcement:
+def decode_announcement(name: str, data: bytes) -> Announcement:
     """Decodes a record of the store.
 
     Args:
@@ -690,39 +690,40 @@
         data: The record.
 
     Raises:
-        Malformed: No process of ours wrote it.
+        MalformedMessage: No process of ours wrote it.
     """
     record = _decode(_records, data)
     info = record.info
     try:
-        ini.place(info.peer)
-        ini.place(info.control)
+        ini.endpoint(info.peer)
+        ini.endpoint(info.control)
     except ValueError as error:
-        raise Malformed(f"address: {error}") from error
+        raise MalformedMessage(f"address: {error}") from error
     if info.name != name or info.targets:
-        raise Malformed("not what a process writes of itself")
+        raise MalformedMessage("not what a process writes of itself")
     if not (math.isfinite(info.started) and info.config >= 0):
-        raise Malformed("a number out of range")
+        raise MalformedMessage("a number out of range")
     return record
 
 
-def decode_kept(data: bytes) -> KeptEvidence:
+def decode_evidence(data: bytes) -> StoredEvidence:
     """Decodes a record of a request that is held back.
 
     Raises:
-        Malformed: No process of ours wrote it.
+        MalformedMessage: No process of ours wrote it.
     """
     kept = _decode(_kept, data)
     ages = [crash.age for crash in kept.evidence.crashes]
     if not all(map(math.isfinite, (kept.at, *ages))):
-        raise Malformed("a number out of range")
+        raise MalformedMessage("a number out of range")
     return kept
 
 
-def aged(evidence: Evidence, seconds: float) -> Evidence:
+def age_evidence(evidence: Evidence, seconds: float) -> Evidence:
     """Evidence some time after it was told.
 
-    >>> aged(Evidence(b"f", (Crash(1, 2.0, True, False),)), 3.0).crashes[0].age
+    >>> crash = Crash(1, 2.0, True, False)
+    >>> age_evidence(Evidence(b"f", (crash,)), 3.0).crashes[0].age
     5.0
     """
     crashes = tuple(
@@ -736,7 +737,7 @@
     """Decodes a control message.
 
     Raises:
-        Malformed: The bytes are no control message.
+        MalformedMessage: The bytes are no control message.
     """
     return _decode(_controls, data)
 
@@ -745,4 +746,4 @@
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Malformed(str(error)) from error
+        raise MalformedMessage(str(error)) from error
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -103,7 +103,7 @@
 _decoder = msgspec.json.Decoder(_Record)
 
 
-class Unusable(errors.ForkliftError):
+class InvalidRecord(errors.ForkliftError):
     """The operator's record can't be used; the one in force stays."""
 
     def __init__(self, detail: str):
@@ -117,12 +117,12 @@
     """Decodes the operator's record.
 
     Raises:
-        Unusable: With what is wrong.
+        InvalidRecord: With what is wrong.
     """
     try:
         record = _decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Unusable(str(error)) from error
+        raise InvalidRecord(str(error)) from error
     services = {
         name: catalog.Service(name, found.health_check, found.max_connections)
         for name, found in record.services.items()
@@ -144,11 +144,11 @@
         limits,
         data,
         _organisations(record),
-        without_keys,
+        with_key_digests,
     )
 
 
-def without_keys(data: bytes) -> bytes:
+def with_key_digests(data: bytes) -> bytes:
     """The same record with digests in place of keys.
 
     What one version of the program does not know stays in it for another.
@@ -169,7 +169,7 @@
             _organisation(name, found) for name, found in record.tenants.items()
         )
     except organisations.DuplicateKey as error:
-        raise Unusable(str(error)) from error
+        raise InvalidRecord(str(error)) from error
 
 
 def _organisation(
@@ -192,12 +192,14 @@
     if found.service:
         shares = (catalog.Share(found.service, 1.0),)
     if not shares or sum(share.weight for share in shares) <= 0:
-        raise Unusable(f"route {name} leads to no service")
+        raise InvalidRecord(f"route {name} leads to no service")
     for share in shares:
         if share.service not in services:
-            raise Unusable(f"route {name} names no service {share.service}")
+            raise InvalidRecord(
+                f"route {name} names no service {share.service}"
+            )
     if not found.path_prefix.startswith("/"):
-        raise Unusable(f"the prefix of route {name} is no path")
+        raise InvalidRecord(f"the prefix of route {name} is no path")
     return catalog.Route(
         name=name,
         host=found.host.lower(),
--- a/forklift/platform/doors.py
+++ b/forklift/platform/endpoints.py
@@ -11,7 +11,7 @@
 from forklift import announcement
 from forklift import errors
 from forklift import ini
-from forklift import unreadable
+from forklift import invalid_input
 from forklift.shell import server
 
 MILLI = 1000
@@ -24,16 +24,16 @@
 # Bounds on what a target may say; beyond them it is no target that says it.
 MAX_BODY_BYTES = 65_536
 MAX_SLOTS = 100_000
-MAX_COLD_MS = 3_600_000
+MAX_WARMUP_MS = 3_600_000
 # What a log line tells of a path, characters.
 MAX_PATH = 200
 # Whole numbers that all formats hold exactly.
-MAX_COUNT = 2**53
+MAX_SAFE_INTEGER = 2**53
 _TARGET = re.compile(r"[!-~]{1,200}")
-_Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
+_Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
 _Word = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 # Unix milliseconds of the start of this run of a target; 0 stands for none.
-_Born = Annotated[int, msgspec.Meta(ge=1, le=MAX_COUNT)]
+_Born = Annotated[int, msgspec.Meta(ge=1, le=MAX_SAFE_INTEGER)]
 
 
 class _State(enum.Enum):
@@ -59,9 +59,9 @@
     # Rises with each call of one run of a target; a late call has a lower one.
     sequence: _Count
     # How much longer the target is slow after its start.
-    cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)] = (
-        0.0
-    )
+    cold_remaining_ms: Annotated[
+        float, msgspec.Meta(ge=0, le=MAX_WARMUP_MS)
+    ] = 0.0
 
 
 class _Heartbeat(_Wire):
@@ -79,7 +79,7 @@
 _leaves = msgspec.json.Decoder(_Leave)
 
 
-class Unreadable(errors.ForkliftError):
+class InvalidCall(errors.ForkliftError):
     """A call that no target of this platform makes."""
 
     def __init__(self, detail: str):
@@ -90,7 +90,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Doors:
+class Endpoints:
     """What the calls come to in the product.
 
     Attributes:
@@ -113,11 +113,11 @@
                 return _OK
             if path.startswith(_LEAVE):
                 target = path[len(_LEAVE) :]
-                self.left(decode_leave(target, request.body))
+                self.left(decode_deregistration(target, request.body))
                 return _OK
-        except Unreadable as error:
-            unreadable.note(
-                unreadable.Source.HEARTBEAT, str(error), path=path[:MAX_PATH]
+        except InvalidCall as error:
+            invalid_input.record(
+                invalid_input.Source.HEARTBEAT, str(error), path=path[:MAX_PATH]
             )
             return _MALFORMED
         return server.Response(404, b"{}")
@@ -137,13 +137,13 @@
         body: The body.
 
     Raises:
-        Unreadable: No target said this.
+        InvalidCall: No target said this.
     """
     said = _decode(_heartbeats, target, body)
     try:
-        address = ini.place(said.address)
+        address = ini.endpoint(said.address)
     except ValueError as error:
-        raise Unreadable(f"address: {error}") from error
+        raise InvalidCall(f"address: {error}") from error
     return announcement.Announcement(
         life=announcement.Life(target, said.born or 0),
         service=said.info.service,
@@ -156,11 +156,11 @@
     )
 
 
-def decode_leave(target: str, body: bytes) -> announcement.Life:
+def decode_deregistration(target: str, body: bytes) -> announcement.Life:
     """Decodes the last call of a target, which may have no body.
 
     Raises:
-        Unreadable: No target said this.
+        InvalidCall: No target said this.
     """
     said = _decode(_leaves, target, body or b"{}")
     return announcement.Life(target, said.born or 0)
@@ -168,10 +168,10 @@
 
 def _decode(decoder: msgspec.json.Decoder, target: str, body: bytes):
     if not _TARGET.fullmatch(target):
-        raise Unreadable("no name of a target")
+        raise InvalidCall("no name of a target")
     if len(body) > MAX_BODY_BYTES:
-        raise Unreadable(f"over {MAX_BODY_BYTES} bytes")
+        raise InvalidCall(f"over {MAX_BODY_BYTES} bytes")
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Unreadable(str(error)) from error
+        raise InvalidCall(str(error)) from error
--- a/forklift/platform/store.py
+++ b/forklift/platform/store.py
@@ -15,8 +15,8 @@
 import structlog
 
 from forklift import errors
-from forklift import ports
-from forklift import unreadable
+from forklift import interfaces
+from forklift import invalid_input
 from forklift.platform import configuration
 from forklift.shell import client
 from forklift.shell import http
@@ -35,8 +35,8 @@
 _BOUNDS = struct.Struct("!QQ")
 # Rises each time that the store came back from a copy, without what it had
 # acknowledged since; in all its answers.
-_ERA = b"store-era"
-_ERA_DIGITS = 18
+_EPOCH = b"store-era"
+_EPOCH_DIGITS = 18
 _OK = 200
 _GONE = 410
 _CONDITION = 412
@@ -44,13 +44,13 @@
 # five times what a slow store takes. A call that hung while the store was
 # silent and the longest pause after it are within the 2 s after its return in
 # which processes that lost each other must have met.
-TIMEOUT = 1.0
+REQUEST_TIMEOUT = 1.0
 # Seconds to wait for the first append: the store takes appends in turn, and all
 # processes of a fleet make theirs in one moment. Later ones come spread.
 FIRST_APPEND_TIMEOUT = 2.0
 # Seconds for which the answer to a read may be late after the time that the
 # store holds it back: five times what a slow store takes.
-LATE = 1.0
+LONG_POLL_MARGIN = 1.0
 
 
 class _Moved(errors.ForkliftError):
@@ -80,43 +80,47 @@
     """What the store answered, and in which era."""
 
     body: bytes
-    era: int
+    epoch: int
 
 
 class Store:
-    """The platform's store; see `ports.Registry`."""
+    """The platform's store; see `interfaces.Registry`."""
 
     def __init__(self, address: str):
         self._client = client.Client(address)
-        # See `ports.Registry`.
+        # See `interfaces.Registry`.
         self.on_lost: Callable[[], None] = lambda: None
         # The highest era of any answer, and that in which the position was
         # found where the configuration is read on.
-        self.era: int | None = None
+        self.epoch: int | None = None
         self._read_in: int | None = None
         self.calls = 0
         self.failures = 0
         self._append_timeout = FIRST_APPEND_TIMEOUT
 
-    async def configuration(self) -> ports.Found:
-        """See `ports.Registry`."""
-        newest, self._read_in = await self._newest(_OPERATOR, TIMEOUT)
+    async def configuration(self) -> interfaces.ConfigurationRead:
+        """See `interfaces.Registry`."""
+        newest, self._read_in = await self._newest(_OPERATOR, REQUEST_TIMEOUT)
         value_by_key, _ = _values(newest)
-        return ports.Found(value_by_key.get(_CONFIGURATION), newest.end)
+        return interfaces.ConfigurationRead(
+            value_by_key.get(_CONFIGURATION), newest.end
+        )
 
     async def next_configuration(
         self, position: int, wait: float
-    ) -> ports.Found:
-        """See `ports.Registry`."""
+    ) -> interfaces.ConfigurationRead:
+        """See `interfaces.Registry`."""
         query = {
             "topic": _OPERATOR,
             "part": _PART,
             "from": position,
             "wait-ms": int(wait * 1000),
         }
-        self._check_era(self.era)
-        found = await self._ask("GET", "/log-read", query, wait + LATE)
-        self._check_era(found.era)
+        self._check_epoch(self.epoch)
+        found = await self._ask(
+            "GET", "/log-read", query, wait + LONG_POLL_MARGIN
+        )
+        self._check_epoch(found.epoch)
         end, _, records = _split(found.body)
         found = None
         for record in records:
@@ -125,14 +129,14 @@
                 found = value
         # A read may be bounded in size, so what was read tells how far it is.
         after = position + len(records) if records else max(position, end)
-        return ports.Found(found, after)
+        return interfaces.ConfigurationRead(found, after)
 
     async def members(self) -> dict[str, bytes]:
-        """See `ports.Registry`."""
+        """See `interfaces.Registry`."""
         members: dict[str, bytes] = {}
         after = ""
         while True:
-            page, _ = await self._newest(_MEMBERS, TIMEOUT, after)
+            page, _ = await self._newest(_MEMBERS, REQUEST_TIMEOUT, after)
             value_by_key, last = _values(page)
             members.update(value_by_key)
             if not page.has_more or last in ("", after):
@@ -140,18 +144,18 @@
             after = last
 
     async def announce(self, name: str, data: bytes) -> None:
-        """See `ports.Registry`."""
+        """See `interfaces.Registry`."""
         body = _record(name, data)
         query = {"topic": _MEMBERS, "part": _PART}
-        timeout, self._append_timeout = self._append_timeout, TIMEOUT
+        timeout, self._append_timeout = self._append_timeout, REQUEST_TIMEOUT
         await self._ask("POST", "/log-append", query, timeout, body)
 
     async def publish(self, data: bytes, position: int) -> bool:
-        """See `ports.Registry`."""
+        """See `interfaces.Registry`."""
         body = _record(_CONFIGURATION, data)
         # The store appends only where the topic still ends at the position.
         query = {"topic": _OPERATOR, "part": _PART, "as-of": position}
-        if self.era != self._read_in:
+        if self.epoch != self._read_in:
             # The position is none of the records that are there now.
             return False
         try:
@@ -160,7 +164,7 @@
             )
         except _Moved:
             return False
-        if found.era != self._read_in:
+        if found.epoch != self._read_in:
             raise errors.RegistryUnavailable(
                 "it went back to a copy meanwhile, and may have written it"
             )
@@ -178,9 +182,9 @@
             query["after"] = after
         found = await self._ask("GET", "/log-newest", query, timeout)
         try:
-            return msgspec.json.decode(found.body, type=_Newest), found.era
+            return msgspec.json.decode(found.body, type=_Newest), found.epoch
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            unreadable.note(unreadable.Source.STORE, str(error))
+            invalid_input.record(invalid_input.Source.STORE, str(error))
             raise errors.RegistryUnavailable(f"malformed: {error}") from error
 
     async def _ask(
@@ -200,7 +204,7 @@
         except client.Failed as error:
             self.failures += 1
             raise errors.RegistryUnavailable(str(error)) from error
-        era = self._note_era(response)
+        epoch = self._update_epoch(response)
         if response.status == _GONE:
             raise errors.RegistryGap()
         if response.status == _CONDITION:
@@ -208,42 +212,42 @@
         if response.status != _OK:
             self.failures += 1
             raise errors.RegistryUnavailable(f"status {response.status}")
-        return _Answer(response.body, era)
+        return _Answer(response.body, epoch)
 
-    def _note_era(self, response: client.Response) -> int:
+    def _update_epoch(self, response: client.Response) -> int:
         """Takes in the era of an answer; a lower one is only late.
 
         Raises:
             errors.RegistryUnavailable: It is of an earlier era.
         """
-        era = _era(response)
-        before = self.era
-        if before is not None and era < before:
+        epoch = _epoch(response)
+        before = self.epoch
+        if before is not None and epoch < before:
             self.failures += 1
             raise errors.RegistryUnavailable("an answer of before it went back")
-        self.era = era
-        if before is not None and era > before:
-            _log.warning("store_went_back", era=era, before=before)
+        self.epoch = epoch
+        if before is not None and epoch > before:
+            _log.warning("store_went_back", era=epoch, before=before)
             self.on_lost()
-        return era
+        return epoch
 
-    def _check_era(self, era: int | None) -> None:
+    def _check_epoch(self, epoch: int | None) -> None:
         """Whether a position says the same as when it was found.
 
         Raises:
             errors.RegistryGap: Offsets were given out again since.
         """
         if self._read_in is None:
-            self._read_in = era
-        if era != self._read_in:
+            self._read_in = epoch
+        if epoch != self._read_in:
             raise errors.RegistryGap()
 
 
-def _era(response: client.Response) -> int:
+def _epoch(response: client.Response) -> int:
     """The era of an answer; a store that tells none is in the first."""
-    told = http.value(response.headers, _ERA) or b"0"
-    if not told.isdigit() or len(told) > _ERA_DIGITS:
-        unreadable.note(unreadable.Source.STORE, "the era is no number")
+    told = http.value(response.headers, _EPOCH) or b"0"
+    if not told.isdigit() or len(told) > _EPOCH_DIGITS:
+        invalid_input.record(invalid_input.Source.STORE, "the era is no number")
         raise errors.RegistryUnavailable("malformed: the era is no number")
     return int(told)
 
@@ -278,7 +282,9 @@
     One that another wrote without a whole key has none that anybody reads.
     """
     if not record or len(record) < 1 + record[0]:
-        unreadable.note(unreadable.Source.STORE, "a record has no whole key")
+        invalid_input.record(
+            invalid_input.Source.STORE, "a record has no whole key"
+        )
         return "", b""
     end = 1 + record[0]
     return record[1:end].decode("utf-8", "replace"), record[end:]
@@ -294,7 +300,7 @@
             item = msgspec.json.decode(raw, type=_Item)
             value = base64.b64decode(item.value, validate=True)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            unreadable.note(unreadable.Source.STORE, str(error))
+            invalid_input.record(invalid_input.Source.STORE, str(error))
             continue
         value_by_key[item.key] = value
     return value_by_key, last
--- a/forklift/quarantine_sync.py
+++ b/forklift/quarantine_sync.py
@@ -73,11 +73,14 @@
         return sends
 
     def receive(
-        self, message: messages.Suspects, now: float
+        self, message: messages.SuspectedRequests, now: float
     ) -> list[gossip.Send]:
         """Takes evidence of another process in."""
         self._quarantine.merge(message.evidence, now)
-        if not message.ask or message.digest == self._quarantine.digest():
+        if (
+            not message.wants_reply
+            or message.digest == self._quarantine.digest()
+        ):
             return []
         return self._tell_all(message.sender.control, now, ask=False)
 
@@ -119,7 +122,7 @@
 
     def _parts(
         self, evidence: Sequence[messages.Evidence], ask: bool
-    ) -> list[messages.Suspects]:
+    ) -> list[messages.SuspectedRequests]:
         """Messages of a size; the last one asks, as all is told by then."""
         starts = range(0, len(evidence), MAX_CASES_PER_MESSAGE)
         return [
@@ -132,10 +135,10 @@
 
     def _message(
         self, evidence: tuple[messages.Evidence, ...], ask: bool
-    ) -> messages.Suspects:
-        sender = messages.sender(self._directory.own)
+    ) -> messages.SuspectedRequests:
+        sender = messages.sender_of(self._directory.own)
         digest = self._quarantine.digest()
-        return messages.Suspects(sender, digest, evidence, ask)
+        return messages.SuspectedRequests(sender, digest, evidence, ask)
 
     def _address(self, name: str) -> str:
         return self._directory.member_by_name[name].info.control
--- a/forklift/settings.py
+++ b/forklift/settings.py
@@ -18,7 +18,7 @@
 
 
 # The system chooses such a port anew for each listener.
-ANY_PORT = ":0"
+EPHEMERAL_PORT = ":0"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -72,7 +72,7 @@
         _optional_address, "address of the target on this instance, ip:port", ""
     )
     heartbeat_ms: int = ini.key(
-        ini.whole(10, 3_600_000),
+        ini.integer(10, 3_600_000),
         "milliseconds between heartbeats of a target",
         1500,
     )
@@ -88,7 +88,7 @@
     """Section [limits]: bounds on what is accepted."""
 
     callers: int = ini.key(
-        ini.whole(1, 100_000), "connections of callers at once", 2000
+        ini.integer(1, 100_000), "connections of callers at once", 2000
     )
     far_cost: float = ini.key(
         ini.number(0, 10),
@@ -235,7 +235,7 @@
         for field in ("heartbeats", "ready")
     ]
     for section, field, address in listeners:
-        if address in seen and not address.endswith(ANY_PORT):
+        if address in seen and not address.endswith(EPHEMERAL_PORT):
             reader.report(
                 section,
                 field,
--- a/forklift/shell/announced.py
+++ b/forklift/shell/announced.py
@@ -9,8 +9,8 @@
 from forklift import announcement
 from forklift import catalog
 from forklift import dialect
+from forklift import invalid_input
 from forklift import settings
-from forklift import unreadable
 from forklift.shell import beside as besides
 from forklift.shell import clock as clocks
 from forklift.shell import pool as pools
@@ -64,8 +64,8 @@
         before = self._lives.name(said.life.target)
         if not self._is_served(said.service):
             # It names no target to use; what it said before holds.
-            unreadable.note(
-                unreadable.Source.HEARTBEAT,
+            invalid_input.record(
+                invalid_input.Source.HEARTBEAT,
                 f"the configuration has no service {said.service}",
                 target=said.life.name,
             )
--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -368,7 +368,7 @@
         now = self._clock.monotonic()
         failing = self._failing(site.controller.service, now)
         return msgspec.structs.replace(
-            site.controller.load(now, route), failing=failing
+            site.controller.load(now, route), failure_percent=failing
         )
 
     def _sign(self, service: str, status: int) -> Sign:
--- a/forklift/shell/clock.py
+++ b/forklift/shell/clock.py
@@ -10,14 +10,14 @@
 
 
 class SystemClock:
-    """Time of the operating system; see `ports.Clock`."""
+    """Time of the operating system; see `interfaces.Clock`."""
 
     def monotonic(self) -> float:
-        """See `ports.Clock`."""
+        """See `interfaces.Clock`."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
-        """See `ports.Clock`."""
+        """See `interfaces.Clock`."""
         return time.time()
 
 
--- a/forklift/shell/configuring.py
+++ b/forklift/shell/configuring.py
@@ -6,7 +6,7 @@
 
 from forklift import catalog
 from forklift import errors
-from forklift import unreadable
+from forklift import invalid_input
 from forklift.shell import clock as clocks
 
 _log = structlog.get_logger(__name__)
@@ -60,7 +60,9 @@
             _log.warning(
                 "configuration_refused", source=source, detail=str(error)
             )
-            unreadable.count_by_source[unreadable.Source.CONFIGURATION] += 1
+            invalid_input.count_by_source[
+                invalid_input.Source.CONFIGURATION
+            ] += 1
             return
         if source == STORE and self._waits(found):
             self._held = found
--- a/forklift/shell/control.py
+++ b/forklift/shell/control.py
@@ -30,7 +30,7 @@
 
 
 class Control:
-    """Sends and receives control messages; see `ports.Transport`."""
+    """Sends and receives control messages; see `interfaces.Transport`."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
     def send(
         self, address: str, message: messages.Control, renew: bool = False
     ) -> bool:
-        """See `ports.Transport`."""
+        """See `interfaces.Transport`."""
         data = _pack(messages.encode(message))
         if self._seal is not None:
             data = self._seal.seal(address, data)
@@ -114,7 +114,7 @@
             if self._seal is not None:
                 data = self._seal.unseal(self._public or self._address, data)
             message = messages.decode_control(_unpack(data))
-        except messages.Malformed as error:
+        except messages.MalformedMessage as error:
             self.refused += 1
             _log.warning("control_refused", detail=str(error))
             return
@@ -140,7 +140,8 @@
     (True, b'\x91')
 
     Raises:
-        messages.Malformed: It is damaged, or larger than a message may be.
+        messages.MalformedMessage: It is damaged, or larger than a message may
+            be.
     """
     if data[:1] != bytes((_ZLIB,)):
         return data
@@ -149,7 +150,9 @@
     try:
         found = stream.decompress(data, most)
     except zlib.error as error:
-        raise messages.Malformed(str(error)) from error
+        raise messages.MalformedMessage(str(error)) from error
     if not stream.eof:
-        raise messages.Malformed(f"cut short, or expands to over {most} bytes")
+        raise messages.MalformedMessage(
+            f"cut short, or expands to over {most} bytes"
+        )
     return found
--- a/forklift/shell/framing.py
+++ b/forklift/shell/framing.py
@@ -64,15 +64,16 @@
         """Expands one frame.
 
         Raises:
-            messages.Malformed: It is damaged, or larger than a frame may be.
+            messages.MalformedMessage: It is damaged, or larger than a frame may
+                be.
         """
         most = messages.MAX_FRAME_BYTES
         try:
             data = self._stream.decompress(packed + _FLUSHED, most)
         except zlib.error as error:
-            raise messages.Malformed(str(error)) from error
+            raise messages.MalformedMessage(str(error)) from error
         if self._stream.unconsumed_tail:
-            raise messages.Malformed(f"expands to over {most} bytes")
+            raise messages.MalformedMessage(f"expands to over {most} bytes")
         return data
 
 
@@ -110,7 +111,7 @@
         self.on_batch()
         try:
             self._split()
-        except messages.Malformed as error:
+        except messages.MalformedMessage as error:
             _log.warning("peer_malformed", peer=self.peer, detail=str(error))
             self.transport.abort()
 
@@ -160,7 +161,11 @@
 
     def _gains(self, frame: messages.Frame, data: bytes) -> bool:
         large = len(data) >= COMPRESS_FROM
-        return self.compress and large and not isinstance(frame, messages.Body)
+        return (
+            self.compress
+            and large
+            and not isinstance(frame, messages.BodyChunk)
+        )
 
     async def drain(self) -> None:
         """Waits until the other side takes bytes again.
@@ -178,7 +183,7 @@
             (prefix,) = _PREFIX.unpack_from(self._buffer, start)
             size = prefix & ~_COMPRESSED
             if size > messages.MAX_FRAME_BYTES:
-                raise messages.Malformed(f"a frame of {size} bytes")
+                raise messages.MalformedMessage(f"a frame of {size} bytes")
             end = start + _PREFIX.size + size
             if len(self._buffer) < end:
                 break
@@ -233,7 +238,7 @@
     while start < len(piece):
         size = await sending.take(min(len(piece) - start, WINDOW))
         part = piece[start : start + size]
-        frames.send(messages.Body(stream, part, False))
+        frames.send(messages.BodyChunk(stream, part, False))
         await frames.drain()
         start += size
 
--- a/forklift/shell/keeping.py
+++ b/forklift/shell/keeping.py
@@ -12,11 +12,11 @@
 import structlog
 
 from forklift import errors
+from forklift import interfaces
+from forklift import invalid_input
 from forklift import messages
-from forklift import ports
 from forklift import quarantine as quarantines
 from forklift import rendezvous
-from forklift import unreadable
 from forklift.shell import clock as clocks
 from forklift.shell import registry
 
@@ -33,7 +33,7 @@
         self,
         name: str,
         quarantine: quarantines.Quarantine,
-        store: ports.Registry,
+        store: interfaces.Registry,
         clock: clocks.SystemClock,
         rng: random.Random,
         spawn: Callable[[Coroutine], None],
@@ -89,12 +89,14 @@
     def read(self, name: str, data: bytes) -> None:
         """Takes a record of the store in."""
         try:
-            kept = messages.decode_kept(data)
-        except messages.Malformed as error:
-            unreadable.note(unreadable.Source.MEMBER, str(error), name=name)
+            kept = messages.decode_evidence(data)
+        except messages.MalformedMessage as error:
+            invalid_input.record(
+                invalid_input.Source.MEMBER, str(error), name=name
+            )
             return
         since = max(0.0, self._clock.wall() - kept.at)
-        aged = messages.aged(kept.evidence, since)
+        aged = messages.age_evidence(kept.evidence, since)
         self._quarantine.merge([aged], self._clock.monotonic())
         crashes = frozenset(one.id for one in aged.crashes)
         self._crashes_by_fingerprint[aged.fingerprint] = crashes
@@ -121,7 +123,7 @@
             if self._quarantine.quarantined_for(fingerprint, now):
                 evidence = self._quarantine.evidence(fingerprint, now)
                 wall = self._clock.wall()
-                data = messages.encode(messages.KeptEvidence(wall, evidence))
+                data = messages.encode(messages.StoredEvidence(wall, evidence))
             try:
                 await self._store.announce(PREFIX + fingerprint.hex(), data)
                 return
--- a/forklift/shell/links.py
+++ b/forklift/shell/links.py
@@ -30,7 +30,7 @@
         hello: Callable[[], messages.Hello],
         key: bytes,
         clock,
-        on_standing: Callable[[messages.Standing], None] | None = None,
+        on_standing: Callable[[messages.LoadUpdate], None] | None = None,
     ):
         self._on_standing = on_standing
         self._directory = directory
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -11,14 +11,14 @@
 from forklift import catalog
 from forklift import dissemination
 from forklift import gossip
+from forklift import interfaces
+from forklift import invalid_input
 from forklift import load_balancer
 from forklift import membership
 from forklift import messages
-from forklift import ports
 from forklift import quarantine as quarantines
 from forklift import quarantine_sync
 from forklift import readers
-from forklift import unreadable
 from forklift.shell import beside as besides
 from forklift.shell import clock as clocks
 from forklift.shell import keeping
@@ -90,10 +90,10 @@
         """Whether it is known that there is no other process."""
         return self._counted and not self.directory.member_by_name
 
-    async def meet(self, store: ports.Registry) -> None:
+    async def meet(self, store: interfaces.Registry) -> None:
         """Makes this process known and finds others, by the store."""
         own = self.directory.own
-        data = messages.encode(messages.announcement(own))
+        data = messages.encode(messages.announcement_of(own))
         await registry.meet(
             store,
             self._rng,
@@ -133,7 +133,7 @@
             if member.liveness is messages.Liveness.ALIVE
             and member.info.domain == self.directory.own.domain
         ]
-        sender = messages.sender(self.directory.own)
+        sender = messages.sender_of(self.directory.own)
         asked = self._rng.sample(near, min(ASKED_FOR_WORK, len(near)))
         for address in asked:
             message = messages.IdleTarget(sender, target, load)
@@ -158,9 +158,11 @@
                 self._on_kept(name, data)
                 continue
             try:
-                record = messages.decode_record(name, data)
-            except messages.Malformed as error:
-                unreadable.note(unreadable.Source.MEMBER, str(error), name=name)
+                record = messages.decode_announcement(name, data)
+            except messages.MalformedMessage as error:
+                invalid_input.record(
+                    invalid_input.Source.MEMBER, str(error), name=name
+                )
                 continue
             # It may be of an earlier run than what is known by now.
             rumor = messages.Rumor(messages.Liveness.ALIVE, record.info)
@@ -183,7 +185,7 @@
         ):
             self._send(self.dissemination.receive(message, now))
             return
-        if isinstance(message, messages.Suspects):
+        if isinstance(message, messages.SuspectedRequests):
             self._send(self.quarantine_sync.receive(message, now))
             return
         if isinstance(message, messages.IdleTarget):
@@ -201,7 +203,7 @@
         if not isinstance(message, messages.SyncReply):
             self._send(
                 self.quarantine_sync.compare_digest(
-                    message.sender.control, message.evidence, now
+                    message.sender.control, message.evidence_digest, now
                 )
             )
         if isinstance(message, messages.SyncReply):
@@ -229,7 +231,7 @@
         if known is None or known.info.boot == peer.boot:
             names = tuple(name for name in names if name in held)
         if names:
-            sender = messages.sender(self.directory.own)
+            sender = messages.sender_of(self.directory.own)
             reminder = messages.LeavingTargets(sender, names)
             self._send([gossip.Send(peer.control, reminder)])
 
@@ -244,7 +246,7 @@
             age=offer.age,
         )
         self.dissemination.offered(offer, now)
-        self._on_record(zlib.decompress(offer.packed), "peer")
+        self._on_record(zlib.decompress(offer.compressed), "peer")
         self._send(self.dissemination.tick(now))
 
     def _send(self, sends: list[gossip.Send]) -> None:
--- a/forklift/shell/peers.py
+++ b/forklift/shell/peers.py
@@ -59,7 +59,7 @@
         self.ready = asyncio.get_running_loop().create_future()
         self.on_sign: Callable[[], None] = lambda: None
         self.on_lost: Callable[[], None] = lambda: None
-        self.on_standing: Callable[[messages.Standing], None] = (
+        self.on_standing: Callable[[messages.LoadUpdate], None] = (
             lambda standing: None
         )
         # Set while the path is condemned.
@@ -136,7 +136,9 @@
         future = asyncio.get_running_loop().create_future()
         self._fence_by_id[stream] = future
         try:
-            self._frames.send(messages.Fence(stream, boot, seq, to_boot, to))
+            self._frames.send(
+                messages.FenceRequest(stream, boot, seq, to_boot, to)
+            )
             async with asyncio.timeout(FENCE_TIMEOUT):
                 return await future
         except (TimeoutError, framing.Lost):
@@ -147,7 +149,7 @@
     def beat(self) -> None:
         """Asks for a sign of life."""
         self._beat += 1
-        self._frames.send(messages.Beat(self._beat, False))
+        self._frames.send(messages.KeepAlive(self._beat, False))
 
     def give_up_repeatable(self) -> None:
         """The path is condemned: what may run twice goes elsewhere.
@@ -203,7 +205,7 @@
                 await framing.send_pieces(
                     self._frames, asked.sending, stream, piece
                 )
-            self._frames.send(messages.Body(stream, b"", True))
+            self._frames.send(messages.BodyChunk(stream, b"", True))
         except (
             exchange.BodyBroken,
             h11.ProtocolError,
@@ -222,24 +224,26 @@
             self._proof(frame)
             return
         if not self.proven:
-            raise messages.Malformed("a frame before the proof of the key")
+            raise messages.MalformedMessage(
+                "a frame before the proof of the key"
+            )
         self.silenced.clear()
         self.on_sign()
-        if isinstance(frame, messages.AnswerStart):
+        if isinstance(frame, messages.ResponseStart):
             self._head(frame)
-        elif isinstance(frame, messages.Body):
+        elif isinstance(frame, messages.BodyChunk):
             asked = self._asked_by_id.get(frame.id)
             if asked is not None and asked.pieces is not None:
-                asked.pieces.feed(frame.data, frame.end)
+                asked.pieces.feed(frame.data, frame.is_last)
         elif isinstance(frame, messages.Credit):
             asked = self._asked_by_id.get(frame.id)
             if asked is not None:
                 asked.sending.give(frame.size)
         elif isinstance(frame, messages.Failure):
             self._failure(frame)
-        elif isinstance(frame, messages.Standing):
+        elif isinstance(frame, messages.LoadUpdate):
             self.on_standing(frame)
-        elif isinstance(frame, messages.Fenced):
+        elif isinstance(frame, messages.FenceReply):
             future = self._fence_by_id.get(frame.id)
             if future is not None and not future.done():
                 future.set_result(frame.not_run)
@@ -263,7 +267,7 @@
         if not self.ready.done():
             self.ready.set_result(None)
 
-    def _head(self, head: messages.AnswerStart) -> None:
+    def _head(self, head: messages.ResponseStart) -> None:
         asked = self._asked_by_id.get(head.id)
         if asked is None or asked.head.done():
             return
--- a/forklift/shell/probe.py
+++ b/forklift/shell/probe.py
@@ -8,7 +8,7 @@
 import structlog
 
 from forklift import dialect as dialects
-from forklift import unreadable
+from forklift import invalid_input
 from forklift.shell import http
 from forklift.shell import wire
 
@@ -83,7 +83,9 @@
     headers = http.fields(response)
     name = http.value(headers, dialect.target) or b""
     if not _NAME.fullmatch(name):
-        unreadable.note(unreadable.Source.HEALTH, "it gives itself no name")
+        invalid_input.record(
+            invalid_input.Source.HEALTH, "it gives itself no name"
+        )
         name = b""
     load = _LOAD.fullmatch(http.value(headers, dialect.load) or b"")
     slots = int(load[1]) if load else 0
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -15,11 +15,11 @@
 from forklift import counters
 from forklift import dialect
 from forklift import errors
+from forklift import interfaces
 from forklift import invariants
 from forklift import load_balancer
 from forklift import messages
 from forklift import policy
-from forklift import ports
 from forklift import quarantine
 from forklift import rate_limits
 from forklift import settings
@@ -71,7 +71,7 @@
     def __init__(
         self,
         read: settings.Settings,
-        store: ports.Registry,
+        store: interfaces.Registry,
         decode,
         names: dialect.Dialect,
     ):
@@ -365,7 +365,7 @@
 
     def _store_lost(self) -> None:
         """The store came back without some of what it had acknowledged."""
-        self.directory.update_own(era=self.store.era or 0)
+        self.directory.update_own(store_epoch=self.store.epoch or 0)
         self.follower.renew()
         self.neighbours.store_lost.set()
         self.keeper.write_again()
@@ -415,7 +415,7 @@
     def _target_changed(self, changed: admission.Controller) -> None:
         """A target's state changed: those who send to it hear at once."""
         load = changed.load(self.clock.monotonic())
-        standing = messages.Standing(changed.name, load)
+        standing = messages.LoadUpdate(changed.name, load)
         since = float("-inf")
         if not changed.leaving:
             since = asyncio.get_running_loop().time() - NEWS_FOR
@@ -434,7 +434,7 @@
         if changed.leaving:
             self.neighbours.tell_all()
 
-    def _standing(self, standing: messages.Standing) -> None:
+    def _standing(self, standing: messages.LoadUpdate) -> None:
         now = self.clock.monotonic()
         self.balancer.update_load(standing.target, standing.load, now)
 
@@ -484,7 +484,7 @@
         )
         return await self.beside.run(start.target, ticket, request, answerer)
 
-    def _fence(self, fence: messages.Fence) -> bool:
+    def _fence(self, fence: messages.FenceRequest) -> bool:
         if fence.to_boot != self.boot:
             # An earlier run of this process may have started it.
             return False
@@ -574,8 +574,8 @@
 
     def _compare_era(self, peer: messages.ProcessInfo) -> None:
         """A peer saw the store lose records, which few look at themselves."""
-        known = self.store.era
-        if known is not None and peer.era > known:
+        known = self.store.epoch
+        if known is not None and peer.store_epoch > known:
             self.follower.renew()
 
     def _tick_safely(self) -> None:
--- a/forklift/shell/registry.py
+++ b/forklift/shell/registry.py
@@ -9,7 +9,7 @@
 import structlog
 
 from forklift import errors
-from forklift import ports
+from forklift import interfaces
 
 _log = structlog.get_logger(__name__)
 
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        registry: ports.Registry,
+        registry: interfaces.Registry,
         rng: random.Random,
         on_record: Callable[[bytes], None],
         processes: Callable[[], int] = lambda: 1,
@@ -152,7 +152,9 @@
         self._overtaken.set()
         self._waiting.set()
 
-    async def _read_unless_overtaken(self, position: int | None) -> ports.Found:
+    async def _read_unless_overtaken(
+        self, position: int | None
+    ) -> interfaces.ConfigurationRead:
         self._overtaken.clear()
         read = asyncio.create_task(self._read(position))
         overtaken = asyncio.create_task(self._overtaken.wait())
@@ -177,7 +179,7 @@
             wait *= self._rng.uniform(WAIT_PART_LEAST, 1.0)
         return wait
 
-    async def _read(self, position: int | None) -> ports.Found:
+    async def _read(self, position: int | None) -> interfaces.ConfigurationRead:
         if position is None:
             return await self._registry.configuration()
         wait = self._wait()
@@ -196,7 +198,7 @@
 
 
 async def meet(
-    registry: ports.Registry,
+    registry: interfaces.Registry,
     rng: random.Random,
     name: str,
     data: bytes,
@@ -222,7 +224,7 @@
 
 
 async def _meet_once(
-    registry: ports.Registry,
+    registry: interfaces.Registry,
     rng: random.Random,
     name: str,
     data: bytes,
--- a/forklift/shell/sealing.py
+++ b/forklift/shell/sealing.py
@@ -70,16 +70,17 @@
         """The message in what arrived at this address.
 
         Raises:
-            messages.Malformed: Nobody who knows the key sent it here, now.
+            messages.MalformedMessage: Nobody who knows the key sent it here,
+                now.
         """
         start = _HEADER.size + _CODE_BYTES
         if len(sealed) < start:
-            raise messages.Malformed("too short for its code")
+            raise messages.MalformedMessage("too short for its code")
         header = sealed[: _HEADER.size]
         code = sealed[_HEADER.size : start]
         data = sealed[start:]
         if not hmac.compare_digest(code, self._code(own, header, data)):
-            raise messages.Malformed("the shared key differs")
+            raise messages.MalformedMessage("the shared key differs")
         boot, counter, sent = _HEADER.unpack(header)
         self._check_fresh(boot, counter, sent)
         return data
@@ -87,11 +88,11 @@
     def _check_fresh(self, boot: int, counter: int, sent: float) -> None:
         now = self._wall()
         if abs(now - sent) > MAX_AGE:
-            raise messages.Malformed("its time is too far from ours")
+            raise messages.MalformedMessage("its time is too far from ours")
         seen = self._seen_by_boot.setdefault(boot, _Seen())
         seen.at = now
         if not seen.take(counter):
-            raise messages.Malformed("played again")
+            raise messages.MalformedMessage("played again")
         if len(self._seen_by_boot) > MAX_BOOTS:
             self._seen_by_boot = {
                 known: seen
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -190,13 +190,13 @@
             return False
         return await link.fence(self._boot, seq, to_boot, process)
 
-    async def relay(self, fence: messages.Fence) -> bool:
+    async def relay(self, fence: messages.FenceRequest) -> bool:
         """Passes another entry's question on to a guard."""
-        if fence.to == self._name:
+        if fence.forward_to == self._name:
             own = fence.to_boot == self._boot
             return own and self._beside.fence((fence.boot, fence.seq))
         try:
-            link = await self._links.get(fence.to)
+            link = await self._links.get(fence.forward_to)
         except errors.PeerUnreachable:
             return False
         return await link.fence(fence.boot, fence.seq, fence.to_boot)
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -8,8 +8,8 @@
 
 from forklift import errors
 from forklift import settings
-from forklift.platform import doors
-from forklift.platform import names
+from forklift.platform import endpoints
+from forklift.platform import platform_headers
 from forklift.platform import store
 from forklift.shell import admin
 from forklift.shell import proxy as proxies
@@ -31,10 +31,15 @@
         errors.UserError: It can't start.
     """
     proxy = proxies.Proxy(
-        read, store.Store(read.platform.store), store.decode, names.DIALECT
+        read,
+        store.Store(read.platform.store),
+        store.decode,
+        platform_headers.DIALECT,
     )
     front = admin.Admin(proxy)
-    calls = doors.Doors(proxy.announced.seen, proxy.announced.left, proxy.ready)
+    calls = endpoints.Endpoints(
+        proxy.announced.seen, proxy.announced.left, proxy.ready
+    )
     heartbeats = server.Server(calls.heartbeat)
     readiness = server.Server(calls.readiness)
     stop = asyncio.Event()
--- a/forklift/shell/served.py
+++ b/forklift/shell/served.py
@@ -33,7 +33,7 @@
     async def start(self, head: exchange.Head) -> None:
         """See `exchange.Sink`."""
         self.begun = True
-        start = messages.AnswerStart(
+        start = messages.ResponseStart(
             self._stream,
             self._request_id,
             head.status,
@@ -55,7 +55,7 @@
     async def end(self) -> None:
         """See `exchange.Sink`."""
         with _as_sink():
-            self._frames.send(messages.Body(self._stream, b"", True))
+            self._frames.send(messages.BodyChunk(self._stream, b"", True))
 
 
 @contextlib.contextmanager
@@ -76,9 +76,9 @@
         own: Callable[[], messages.Hello],
         key: bytes,
         handler: Handler,
-        fence: Callable[[messages.Fence], bool],
+        fence: Callable[[messages.FenceRequest], bool],
         on_refused: Callable[[], None],
-        relay: Callable[[messages.Fence], Awaitable[bool]] | None = None,
+        relay: Callable[[messages.FenceRequest], Awaitable[bool]] | None = None,
     ):
         self._relay = relay
         self._frames = frames
@@ -114,7 +114,7 @@
         Unasked: to be asked would wake both sides once more for each sign.
         """
         if self.busy and self.proven and not self._frames.lost:
-            self._frames.send(messages.Beat(0, True))
+            self._frames.send(messages.KeepAlive(0, True))
 
     def finish(self) -> None:
         """Ends what is sent; the peer closes once it has taken all.
@@ -129,7 +129,7 @@
         """Closes the connection."""
         self._frames.transport.abort()
 
-    def tell(self, standing: messages.Standing, since: float) -> None:
+    def tell(self, standing: messages.LoadUpdate, since: float) -> None:
         """Tells the peer unasked how a target stands.
 
         Args:
@@ -154,13 +154,15 @@
             self._proof(frame)
         elif not self.proven:
             self._on_refused()
-            raise messages.Malformed("a frame before the proof of the key")
+            raise messages.MalformedMessage(
+                "a frame before the proof of the key"
+            )
         elif isinstance(frame, messages.RequestStart):
             self._start(frame)
-        elif isinstance(frame, messages.Body):
+        elif isinstance(frame, messages.BodyChunk):
             pieces = self._pieces_by_id.get(frame.id)
             if pieces is not None:
-                pieces.feed(frame.data, frame.end)
+                pieces.feed(frame.data, frame.is_last)
         elif isinstance(frame, messages.Credit):
             answerer = self._answerer_by_id.get(frame.id)
             if answerer is not None:
@@ -169,15 +171,15 @@
             task = self._task_by_id.get(frame.id)
             if task is not None:
                 task.cancel()
-        elif isinstance(frame, messages.Beat) and not frame.echo:
-            self._frames.send(messages.Beat(frame.number, True))
-        elif isinstance(frame, messages.Fence):
+        elif isinstance(frame, messages.KeepAlive) and not frame.is_reply:
+            self._frames.send(messages.KeepAlive(frame.number, True))
+        elif isinstance(frame, messages.FenceRequest):
             self._answer_fence(frame)
 
-    def _answer_fence(self, fence: messages.Fence) -> None:
-        if not fence.to:
+    def _answer_fence(self, fence: messages.FenceRequest) -> None:
+        if not fence.forward_to:
             not_run = self._fence(fence)
-            self._frames.send(messages.Fenced(fence.id, not_run))
+            self._frames.send(messages.FenceReply(fence.id, not_run))
         elif self._relay is not None:
             task = asyncio.get_running_loop().create_task(
                 self._relay_fence(fence)
@@ -185,23 +187,23 @@
             self._relays.add(task)
             task.add_done_callback(self._relays.discard)
 
-    async def _relay_fence(self, fence: messages.Fence) -> None:
+    async def _relay_fence(self, fence: messages.FenceRequest) -> None:
         not_run = await self._relay(fence)
         if not self._frames.lost:
-            self._frames.send(messages.Fenced(fence.id, not_run))
+            self._frames.send(messages.FenceReply(fence.id, not_run))
 
     def _proof(self, proof: messages.Proof) -> None:
         if self.peer is None:
-            raise messages.Malformed("a proof before the hello")
+            raise messages.MalformedMessage("a proof before the hello")
         wanted = framing.prove(self._key, self.peer.nonce, self._own.nonce)
         if not hmac.compare_digest(wanted, proof.digest):
             self._on_refused()
-            raise messages.Malformed("the shared key differs")
+            raise messages.MalformedMessage("the shared key differs")
         self.proven = True
 
     def _start(self, start: messages.RequestStart) -> None:
         if start.id in self._task_by_id:
-            raise messages.Malformed("a stream number was used again")
+            raise messages.MalformedMessage("a stream number was used again")
         self.last_start = asyncio.get_running_loop().time()
         body = exchange.Body(start.body)
         if not start.complete:
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -10,8 +10,8 @@
 from opentelemetry.sdk import resources
 
 from forklift import expressions
+from forklift import invalid_input
 from forklift import invariants
-from forklift import unreadable
 from forklift.shell import logs
 
 Reading = tuple[float, dict[str, str]]
@@ -176,7 +176,7 @@
         self.counter(
             "forklift.unreadable",
             "What came from outside and could not be used, by source",
-            lambda: _by(unreadable.count_by_source, "source"),
+            lambda: _by(invalid_input.count_by_source, "source"),
         )
         self.gauge(
             "forklift.config.version",
--- a/forklift/ui/check.py
+++ b/forklift/ui/check.py
@@ -34,7 +34,7 @@
 
     try:
         configuration.decode(content.encode())
-    except configuration.Unusable as error:
+    except configuration.InvalidRecord as error:
         problem = errors.Problem(
             file, "record", "", str(error).partition(";")[0], "correct it"
         )
--- a/forklift/ui/explain.py
+++ b/forklift/ui/explain.py
@@ -5,8 +5,8 @@
 import click
 
 from forklift import errors
+from forklift import log_trace
 from forklift import report
-from forklift import stories
 from forklift.ui import asking
 
 
@@ -35,8 +35,10 @@
 
 
 def _from_logs(name: str, logs: tuple) -> None:
-    lines = stories.parse(line for log in logs for line in log)
-    told = stories.of_request(lines, name) or stories.of_target(lines, name)
+    lines = log_trace.parse(line for log in logs for line in log)
+    told = log_trace.trace_request(lines, name) or log_trace.trace_target(
+        lines, name
+    )
     if not told:
         raise errors.UserError(
             f"no line names {name}; give the logs of all processes "
--- a/forklift_lab/programs.py
+++ b/forklift_lab/programs.py
@@ -13,7 +13,7 @@
 import sys
 import tempfile
 
-from forklift.platform import names
+from forklift.platform import platform_headers
 from forklift.shell import client
 from forklift.shell import server
 from forklift.shell import wire
@@ -188,7 +188,10 @@
     ) -> Place:
         """Starts a target, and a process beside it."""
         target = scripted.ScriptedTarget(
-            names=names.DIALECT, name=f"i-{name}", strict=True, born=BORN
+            names=platform_headers.DIALECT,
+            name=f"i-{name}",
+            strict=True,
+            born=BORN,
         )
         await self._stack.enter_async_context(target)
         self.target_by_name[name] = target
--- a/forklift_lab/promises.py
+++ b/forklift_lab/promises.py
@@ -4,7 +4,7 @@
 import itertools
 
 from forklift import announcement
-from forklift.platform import names
+from forklift.platform import platform_headers
 from forklift_lab import soak as soaks
 
 _NO_ROUTE = 404
@@ -18,7 +18,7 @@
     for target in soak.running.target_by_name.values():
         for received, fault in zip(target.received, target.played, strict=True):
             if fault not in ("refuse", "misdirected"):
-                field = names.DIALECT.request_id
+                field = platform_headers.DIALECT.request_id
                 runs[received.field(field).decode()] += 1
     return runs
 
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from forklift import announcement
-from forklift.platform import names
+from forklift.platform import platform_headers
 from forklift.platform import store
 from forklift.shell import announced
 from forklift.shell import client
@@ -60,7 +60,7 @@
 # it takes about one to start, and a read of the store two to be given up.
 SETTLES = 5.0
 # Seconds after which a process has given up a read of the store that is lost.
-GIVES_UP = registry.WAIT * (1 + registry.WAIT_SPREAD) + store.LATE
+GIVES_UP = registry.WAIT * (1 + registry.WAIT_SPREAD) + store.LONG_POLL_MARGIN
 # Versions whose route a configuration keeps, beside its own.
 KEEPS = 40
 # Seconds within which all must serve again once the faults are over: a bound
@@ -277,8 +277,11 @@
         while not self.over:
             asker = client.Client(rng.choice(self.running.places).caller)
             fields = (
-                (names.DIALECT.request_id.decode(), self.new_id("few")),
-                (names.DIALECT.key.decode(), KEY),
+                (
+                    platform_headers.DIALECT.request_id.decode(),
+                    self.new_id("few"),
+                ),
+                (platform_headers.DIALECT.key.decode(), KEY),
             )
             with contextlib.suppress(client.Failed):
                 path = f"/{ORGANISATION}/"
@@ -297,8 +300,8 @@
         since = self.due(self.now(), USERS_WITHIN) if kind == "since" else 0
         request_id = self.new_id(kind)
         fields = (
-            (names.DIALECT.request_id.decode(), request_id),
-            (names.DIALECT.deadline.decode(), str(DEADLINE_MS)),
+            (platform_headers.DIALECT.request_id.decode(), request_id),
+            (platform_headers.DIALECT.deadline.decode(), str(DEADLINE_MS)),
         )
         method = "POST" if kind == "copies" else "GET"
         path = f"/{kind}/" if kind in KINDS else f"/{kind}{version or since}/"
@@ -507,7 +510,9 @@
 
 
 def _is_own(answer: client.Response, request_id: str) -> bool:
-    given = dict(answer.headers).get(names.DIALECT.request_id.lower())
+    given = dict(answer.headers).get(
+        platform_headers.DIALECT.request_id.lower()
+    )
     own = given == request_id.encode()
     return own and answer.body == scripted.BODY
 
--- a/test/helper.py
+++ b/test/helper.py
@@ -36,7 +36,7 @@
 
 
 class FakeClock:
-    """Time that a test turns; see `ports.Clock`."""
+    """Time that a test turns; see `interfaces.Clock`."""
 
     def __init__(self):
         self.now = 1000.0
--- a/test/test_control.py
+++ b/test/test_control.py
@@ -26,7 +26,7 @@
     ids=["too large", "cut short", "damaged"],
 )
 def test_what_does_not_expand_as_it_should_is_refused(data):
-    with pytest.raises(messages.Malformed):
+    with pytest.raises(messages.MalformedMessage):
         control._unpack(data)
 
 
@@ -163,10 +163,10 @@
     seal = sealing.Seal(1, b"k", lambda: 0.0)
     sealed = seal.seal("127.0.0.1:9", b"data")
     receiver = sealing.Seal(2, b"k", lambda: 0.0)
-    with pytest.raises(messages.Malformed):
+    with pytest.raises(messages.MalformedMessage):
         receiver.unseal("127.0.0.1:8", sealed)
     assert receiver.unseal("127.0.0.1:9", sealed) == b"data"
-    with pytest.raises(messages.Malformed):
+    with pytest.raises(messages.MalformedMessage):
         receiver.unseal("127.0.0.1:9", sealed)
 
 
@@ -177,7 +177,7 @@
     order = random.Random(3).sample(sent, len(sent))
     assert len({receiver.unseal("a", one) for one in order}) == 50
     for one in sent:
-        with pytest.raises(messages.Malformed):
+        with pytest.raises(messages.MalformedMessage):
             receiver.unseal("a", one)
 
 
@@ -189,8 +189,8 @@
     for _ in range(sealing.WINDOW):
         newest = seal.seal("a", b"new")
     receiver.unseal("a", newest)
-    with pytest.raises(messages.Malformed):
+    with pytest.raises(messages.MalformedMessage):
         receiver.unseal("a", old)
     now[0] = sealing.MAX_AGE + 1.0
-    with pytest.raises(messages.Malformed):
+    with pytest.raises(messages.MalformedMessage):
         receiver.unseal("a", seal.seal("a", b"of another time"))
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -195,10 +195,12 @@
         message = messages.CatalogVersion(sender, version=version, **fields)
         return self.decisions.receive(message, self.now)
 
-    def asked(self, name: str, version: int, again: bool) -> list[gossip.Send]:
+    def asked(
+        self, name: str, version: int, is_retry: bool
+    ) -> list[gossip.Send]:
         """Another process asks for a newer version."""
         sender = messages.Sender(name, name)
-        request = messages.CatalogRequest(sender, 1, version, again)
+        request = messages.CatalogRequest(sender, 1, version, is_retry)
         return self.decisions.receive(request, self.now)
 
 
@@ -217,7 +219,7 @@
     for _ in range(steady + 6):
         before = rig.now
         (again,) = rig.next_sends()
-        assert again.renew and again.message.again
+        assert again.renew and again.message.is_retry
         pauses.append(rig.now - before)
     for pause in pauses[:steady]:
         assert pause == pytest.approx(dissemination.RETRY_FIRST, abs=0.06)
@@ -232,7 +234,12 @@
     asked = [send for _ in range(4) for send in rig.next_sends()]
     assert kinds(asked) == ["CatalogRequest"] * 4
     assert [send.renew for send in asked] == [False, True, True, True]
-    assert [send.message.again for send in asked] == [False, True, True, True]
+    assert [send.message.is_retry for send in asked] == [
+        False,
+        True,
+        True,
+        True,
+    ]
     assert [send.address for send in asked] in (
         ["a", "b", "a", "b"],
         ["b", "a", "b", "a"],
@@ -245,11 +252,11 @@
     rig = Rig("peer", version=2)
     (answer,) = rig.told("peer", 2, confirm=True)
     assert not answer.renew
-    (answer,) = rig.told("peer", 2, confirm=True, again=True)
+    (answer,) = rig.told("peer", 2, confirm=True, is_retry=True)
     assert answer.renew
-    (offer,) = rig.asked("peer", 1, again=False)
+    (offer,) = rig.asked("peer", 1, is_retry=False)
     assert not offer.renew
-    (offer,) = rig.asked("peer", 1, again=True)
+    (offer,) = rig.asked("peer", 1, is_retry=True)
     assert offer.renew
 
 
--- a/test/test_framing.py
+++ b/test/test_framing.py
@@ -49,18 +49,22 @@
     return sender, received, transport
 
 
-def head(number: int) -> messages.AnswerStart:
+def head(number: int) -> messages.ResponseStart:
     headers = (
         (b"content-type", b"application/json"),
         (b"request-id", f"{number:032x}".encode()),
     )
-    return messages.AnswerStart(
+    return messages.ResponseStart(
         number, f"{number:032x}", 200, headers, 400, "target", None
     )
 
 
 def test_frames_arrive_as_they_were_sent_compressed_or_not():
-    sent = [head(1), messages.Body(1, b"x" * 400, True), messages.Beat(1, True)]
+    sent = [
+        head(1),
+        messages.BodyChunk(1, b"x" * 400, True),
+        messages.KeepAlive(1, True),
+    ]
     sent += [head(number) for number in range(2, 50)]
     sizes = {}
     for compress in (False, True):
@@ -80,7 +84,7 @@
     receiver.data_received(prefix + bomb)
     assert receiver.transport.aborted
     assert received == []
-    with pytest.raises(messages.Malformed, match="expands"):
+    with pytest.raises(messages.MalformedMessage, match="expands"):
         framing._Inflate().expand(bomb)
 
 
--- a/test/test_fuzz.py
+++ b/test/test_fuzz.py
@@ -12,7 +12,7 @@
 from forklift import policy
 from forklift import settings
 from forklift.platform import configuration
-from forklift.platform import doors
+from forklift.platform import endpoints
 from forklift.platform import store
 from forklift.shell import http
 from forklift.shell import server
@@ -24,10 +24,10 @@
 few = hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
 VALID = [
     messages.encode(messages.Cancel(7)),
-    messages.encode(messages.Beat(1, True)),
+    messages.encode(messages.KeepAlive(1, True)),
     messages.encode(messages.Ping(helper.info("p", "t"), 1, 0.0, 5, ())),
-    messages.encode(messages.announcement(helper.info("p", "t"))),
-    messages.encode(messages.Fence(1, 2, 3, 4, "p")),
+    messages.encode(messages.announcement_of(helper.info("p", "t"))),
+    messages.encode(messages.FenceRequest(1, 2, 3, 4, "p")),
     messages.encode(messages.LeavingTargets(messages.Sender("p", "c"), ("t",))),
 ]
 
@@ -48,12 +48,12 @@
 def test_messages(data):
     for decode in (
         messages.decode_frame,
-        lambda record: messages.decode_record("p", record),
+        lambda record: messages.decode_announcement("p", record),
         messages.decode_control,
     ):
         try:
             message = decode(data)
-        except messages.Malformed:
+        except messages.MalformedMessage:
             continue
         assert decode(messages.encode(message)) == message
 
@@ -62,7 +62,7 @@
     for decode in (messages.decode_frame, messages.decode_control):
         try:
             decode(b"\x91" * 100_000)
-        except messages.Malformed:
+        except messages.MalformedMessage:
             continue
         raise AssertionError("accepted")
 
@@ -85,7 +85,7 @@
 def test_records_of_the_operator(data):
     try:
         store.decode(data)
-    except configuration.Unusable:
+    except configuration.InvalidRecord:
         return
 
 
@@ -93,7 +93,7 @@
 @few
 def test_heartbeats(data):
     seen = []
-    calls = doors.Doors(seen.append, seen.append, lambda: True)
+    calls = endpoints.Endpoints(seen.append, seen.append, lambda: True)
     path = "/Instances.Heartbeat/t"
     request = server.Request("POST", path, (), data)
     answer = helper.run(calls.heartbeat(request))
--- a/test/test_unreadable.py
+++ b/test/test_invalid_input.py
@@ -18,10 +18,10 @@
 from forklift import announcement
 from forklift import dialect
 from forklift import errors
+from forklift import invalid_input
 from forklift import messages
-from forklift import unreadable
 from forklift.platform import configuration
-from forklift.platform import doors
+from forklift.platform import endpoints
 from forklift.platform import store as adapter
 from forklift.shell import client
 from forklift.shell import probe
@@ -129,7 +129,7 @@
     def __init__(self):
         self.seen: list[announcement.Announcement] = []
         self.left: list[announcement.Life] = []
-        self._doors = doors.Doors(
+        self._doors = endpoints.Endpoints(
             self.seen.append, self.left.append, lambda: True
         )
 
@@ -147,9 +147,9 @@
     for said in one.seen:
         # Only what is optional was missing, or a text was another one.
         assert said.life.target == "i-1"
-        assert 1 <= said.slots <= doors.MAX_SLOTS
-        assert 0 <= said.sequence <= doors.MAX_COUNT
-        assert 0 <= said.cold <= doors.MAX_COLD_MS
+        assert 1 <= said.slots <= endpoints.MAX_SLOTS
+        assert 0 <= said.sequence <= endpoints.MAX_SAFE_INTEGER
+        assert 0 <= said.cold <= endpoints.MAX_WARMUP_MS
 
 
 @pytest.mark.parametrize(
@@ -222,9 +222,9 @@
 def test_the_operators_record(data):
     try:
         found = configuration.decode(data)
-    except configuration.Unusable:
+    except configuration.InvalidRecord:
         return
-    assert 1 <= found.version <= doors.MAX_COUNT
+    assert 1 <= found.version <= endpoints.MAX_SAFE_INTEGER
     for route in found.routes:
         assert route.timeout > 0
         assert all(share.weight >= 0 for share in route.shares)
@@ -327,7 +327,7 @@
 
 
 def test_a_member_is_what_its_process_wrote():
-    assert messages.decode_record("p", _member()).info.name == "p"
+    assert messages.decode_announcement("p", _member()).info.name == "p"
 
 
 @pytest.mark.parametrize(
@@ -344,24 +344,24 @@
     ],
 )
 def test_a_member_that_no_process_wrote_is_refused(changes):
-    with pytest.raises(messages.Malformed):
-        messages.decode_record("p", _member(**changes))
+    with pytest.raises(messages.MalformedMessage):
+        messages.decode_announcement("p", _member(**changes))
 
 
 def test_one_line_a_cause_however_often_it_comes(monkeypatch):
     lines = []
     monkeypatch.setattr(
-        unreadable._log, "warning", lambda *_, **fields: lines.append(fields)
+        invalid_input._log, "warning", lambda *_, **fields: lines.append(fields)
     )
-    before = unreadable.count_by_source.copy()
-    unreadable.count_by_source.clear()
+    before = invalid_input.count_by_source.copy()
+    invalid_input.count_by_source.clear()
     try:
         for _ in range(1000):
-            unreadable.note(unreadable.Source.STORE, "no base64")
-        count = unreadable.count_by_source[unreadable.Source.STORE]
+            invalid_input.record(invalid_input.Source.STORE, "no base64")
+        count = invalid_input.count_by_source[invalid_input.Source.STORE]
     finally:
-        unreadable.count_by_source.clear()
-        unreadable.count_by_source.update(before)
+        invalid_input.count_by_source.clear()
+        invalid_input.count_by_source.update(before)
     assert count == 1000
     assert [line["count"] for line in lines] == [2**n for n in range(10)]
 
--- a/test/test_keeping.py
+++ b/test/test_keeping.py
@@ -4,9 +4,9 @@
 import random
 
 from forklift import errors
+from forklift import invalid_input
 from forklift import messages
 from forklift import quarantine as quarantines
-from forklift import unreadable
 from forklift.shell import keeping
 from forklift.shell import registry
 from test import helper
@@ -135,15 +135,15 @@
 def test_a_record_of_another_writer_holds_nothing_back(monkeypatch):
     async def work(store, processes):
         one = processes[0]
-        before = unreadable.count_by_source[unreadable.Source.MEMBER]
+        before = invalid_input.count_by_source[invalid_input.Source.MEMBER]
         far = messages.Evidence(
             DEADLY, (messages.Crash(1, float("nan"), True, False),)
         )
-        strange = messages.encode(messages.KeptEvidence(float("inf"), far))
+        strange = messages.encode(messages.StoredEvidence(float("inf"), far))
         for data in (b"", b"\xff", b"{}", strange):
             one.keeper.read(keeping.PREFIX + "x", data)
         assert not held(one)
-        after = unreadable.count_by_source[unreadable.Source.MEMBER]
+        after = invalid_input.count_by_source[invalid_input.Source.MEMBER]
         assert after == before + 4
 
     play(work, monkeypatch)
--- a/test/test_load_balancer.py
+++ b/test/test_load_balancer.py
@@ -198,7 +198,7 @@
         selection = found.select(requirements(), frozenset(), now)
         # Others see the same, each by a few requests of its own.
         told = sum(rng.random() < failing for _ in range(5)) * 20
-        answer = msgspec.structs.replace(load(), failing=told)
+        answer = msgspec.structs.replace(load(), failure_percent=told)
         found.finish_attempt("s", selection, answer, now)
         if selection.target == "c":
             used.append(now)
--- a/test/test_stories.py
+++ b/test/test_log_trace.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from forklift import stories
+from forklift import log_trace
 from test import helper
 from test import processes
 
@@ -20,19 +20,19 @@
          "timestamp": "2.5"},
         {"event": "request", "request": "r2", "timestamp": "1"},
     ]  # fmt: skip
-    read = stories.parse([json.dumps(line) for line in lines] + ["noise"])
-    told = stories.of_request(read, "r1")
+    read = log_trace.parse([json.dumps(line) for line in lines] + ["noise"])
+    told = log_trace.trace_request(read, "r1")
     assert [line.split()[1] for line in told[:2]] == [
         "answer_broken:",
         "request:",
     ]
     assert "broke the connection" in told[-1]
     assert "may have run" in told[-1]
-    assert len(stories.of_target(read, "t")) == 2
-    assert stories.of_request(read, "unheard") == []
+    assert len(log_trace.trace_target(read, "t")) == 2
+    assert log_trace.trace_request(read, "unheard") == []
 
 
-def lines_of(play) -> list[stories.Line]:
+def lines_of(play) -> list[log_trace.LogLine]:
     """What the processes of a played fleet logged."""
     with structlog.testing.capture_logs() as captured:
         play()
@@ -40,14 +40,14 @@
         {"timestamp": f"{number:06}", **line}
         for number, line in enumerate(captured)
     ]
-    return stories.parse(json.dumps(line, default=str) for line in noted)
+    return log_trace.parse(json.dumps(line, default=str) for line in noted)
 
 
-def story_of_failure(lines: list[stories.Line]) -> str:
+def story_of_failure(lines: list[log_trace.LogLine]) -> str:
     """The story of the one request that failed."""
     ends = [line for line in lines if line.event == "request"]
     (request,) = {line.fields["request"] for line in ends}
-    return "\n".join(stories.of_request(lines, request))
+    return "\n".join(log_trace.trace_request(lines, request))
 
 
 def test_work_that_must_not_repeat_met_a_target_that_broke():
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -372,7 +372,7 @@
 )
 def test_a_record_with_wrong_organisations_is_refused_in_one_line(wrong):
     data = msgspec.json.encode(record(tenants=wrong))
-    with pytest.raises(configuration.Unusable) as found:
+    with pytest.raises(configuration.InvalidRecord) as found:
         configuration.decode(data)
     assert "\n" not in str(found.value)
     for key in KEYS:
@@ -380,7 +380,7 @@
 
 
 def test_who_is_handed_a_version_by_a_peer_knows_the_callers_too():
-    handed = configuration.without_keys(msgspec.json.encode(record()))
+    handed = configuration.with_key_digests(msgspec.json.encode(record()))
     found = configuration.decode(handed)
     for key in (KEY, SECOND):
         assert found.callers.identify([key.encode()], False).name == "fund"
@@ -395,11 +395,11 @@
 def test_what_peers_are_handed_keeps_what_this_version_does_not_know():
     data = record(**{"of-tomorrow": {"a": [1, None]}})
     data["tenants"]["fund"]["of-tomorrow"] = True
-    handed = configuration.without_keys(msgspec.json.encode(data))
+    handed = configuration.with_key_digests(msgspec.json.encode(data))
     read = msgspec.json.decode(handed)
     assert read["of-tomorrow"] == data["of-tomorrow"]
     assert read["tenants"]["fund"]["of-tomorrow"] is True
-    assert configuration.without_keys(handed) == handed
+    assert configuration.with_key_digests(handed) == handed
 
 
 def test_nobody_is_anybody_without_organisations():
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -6,7 +6,7 @@
 
 from forklift import announcement
 from forklift.platform import configuration
-from forklift.platform import doors
+from forklift.platform import endpoints
 from forklift.shell import server
 from test import helper
 
@@ -98,7 +98,7 @@
     ],
 )
 def test_an_unusable_record_is_refused_with_a_reason(data):
-    with pytest.raises(configuration.Unusable):
+    with pytest.raises(configuration.InvalidRecord):
         configuration.decode(data)
 
 
@@ -109,7 +109,7 @@
         self.announcements: list[announcement.Announcement] = []
         self.left: list[announcement.Life] = []
         self.ready = True
-        self.doors = doors.Doors(
+        self.doors = endpoints.Endpoints(
             self.announcements.append, self.left.append, lambda: self.ready
         )
 
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -298,9 +298,9 @@
     crash_beside(made, "p0", 1)
     crash_beside(made, "p1", 2)
     made.run(5.0)
-    before = made.count_by_kind["Suspects"]
+    before = made.count_by_kind["SuspectedRequests"]
     made.run(20.0)
-    assert made.count_by_kind["Suspects"] == before
+    assert made.count_by_kind["SuspectedRequests"] == before
 
 
 def test_much_evidence_is_told_in_messages_of_a_datagram():
@@ -312,7 +312,7 @@
     for start in range(0, len(evidence), size):
         part = tuple(evidence[start : start + size])
         sender = messages.Sender("a-name-of-a-process", "10.10.10.10:65535")
-        message = messages.Suspects(sender, 1 << 63, part, True)
+        message = messages.SuspectedRequests(sender, 1 << 63, part, True)
         assert len(messages.encode(message)) <= 1400
 
 
--- a/test/test_silence.py
+++ b/test/test_silence.py
@@ -37,7 +37,7 @@
         2.0,
     ),
     "processes that lost each other meet after the store is back": (
-        store.TIMEOUT + registry.PAUSE_MOST + 3 * WAY,
+        store.REQUEST_TIMEOUT + registry.PAUSE_MOST + 3 * WAY,
         2.0,
     ),
     "a request leaves a path that fell silent": (
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -409,7 +409,7 @@
         link.on_standing = taken.append
         link._frames.transport.pause_reading()
         (served,) = one.served
-        news = messages.Standing(
+        news = messages.LoadUpdate(
             "t" * 10_000, one.beside.site_by_target["t1"].controller.load(0.0)
         )
         told = 0
@@ -479,7 +479,7 @@
         link = await entry.links.get("p1")
         link.on_standing = taken.append
         (served,) = one.served
-        news = messages.Standing(
+        news = messages.LoadUpdate(
             "t" * 10_000, one.beside.site_by_target["t1"].controller.load(0.0)
         )
         # The peer is slow to take; the system has room for all of it.
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -7,7 +7,7 @@
 import pytest
 
 from forklift import errors
-from forklift import ports
+from forklift import interfaces
 from forklift.platform import store as adapter
 from forklift.shell import registry
 from forklift.shell import server
@@ -141,20 +141,20 @@
 
 
 class Hanging:
-    """A store whose reads are never answered; see `ports.Registry`."""
+    """A store whose reads are never answered; see `interfaces.Registry`."""
 
     def __init__(self):
         self.waits: list[float] = []
         # Reads of what is there, without waiting.
         self.first_reads = 0
 
-    async def configuration(self) -> ports.Found:
+    async def configuration(self) -> interfaces.ConfigurationRead:
         self.first_reads += 1
-        return ports.Found(None, 0)
+        return interfaces.ConfigurationRead(None, 0)
 
     async def next_configuration(
         self, position: int, wait: float
-    ) -> ports.Found:
+    ) -> interfaces.ConfigurationRead:
         self.waits.append(wait)
         return await asyncio.Future()
 
@@ -290,11 +290,11 @@
 
     async def next_configuration(
         self, position: int, wait: float
-    ) -> ports.Found:
+    ) -> interfaces.ConfigurationRead:
         self.waits.append(wait)
         if position == 0:
             await self.told.wait()
-            return ports.Found(b"record", 1)
+            return interfaces.ConfigurationRead(b"record", 1)
         return await asyncio.Future()
 
 
@@ -315,6 +315,6 @@
         await helper.until(lambda: len(store.waits) == 62)
         for task in tasks:
             task.cancel()
-        assert min(store.waits[31:]) + adapter.LATE < 2.0
+        assert min(store.waits[31:]) + adapter.LONG_POLL_MARGIN < 2.0
 
     helper.run(work())
--- a/test/test_went_back.py
+++ b/test/test_went_back.py
@@ -90,7 +90,7 @@
 def test_any_answer_tells_that_the_store_went_back():
     async def work(store, asked):
         lost = []
-        asked.on_lost = lambda: lost.append(asked.era)
+        asked.on_lost = lambda: lost.append(asked.epoch)
         put(store, b"1")
         found = await asked.configuration()
         copied = store.copied()
@@ -116,7 +116,7 @@
         store.era = 3
         with pytest.raises(errors.RegistryUnavailable):
             await asked.configuration()
-        assert asked.era == 4
+        assert asked.epoch == 4
 
     play(work)
 
@@ -184,7 +184,7 @@
         await helper.until(lambda: versions(fleet) == {2})
         fleet.store.go_back(copied)
         await helper.until(
-            lambda: all(one.store.era == 1 for one in fleet.proxies)
+            lambda: all(one.store.epoch == 1 for one in fleet.proxies)
         )
         await asyncio.sleep(0)
         assert versions(fleet) == {2}
@@ -254,7 +254,7 @@
         late.follower.renew()
         await helper.until(lambda: not late.follower._waiting.is_set())
         fleet.store.go_back(fleet.store.copied())
-        await helper.until(lambda: late.store.era == 1)
+        await helper.until(lambda: late.store.epoch == 1)
 
     processes.play(work, [[], [], []])
 
@@ -324,6 +324,6 @@
 
 def test_a_version_that_only_few_have_is_told_in_a_message_that_old_ones_read():
     """A process of an older version does not know the era."""
-    own = helper.info("p", era=3)
+    own = helper.info("p", store_epoch=3)
     shorter = msgspec.msgpack.decode(msgspec.msgpack.encode(own))[:-1]
-    assert msgspec.convert(shorter, type(own)).era == 0
+    assert msgspec.convert(shorter, type(own)).store_epoch == 0
