--- a/forklift/admission.py
+++ b/forklift/admission.py
@@ -19,13 +19,13 @@
 
 Reason = messages.Reason
 State = messages.TargetState
-Sign = health.Sign
+Signal = health.Signal
 
 # Requests that may wait for each slot, whatever their deadlines.
-QUEUE_FACTOR = 8
+MAX_QUEUED_PER_SLOT = 8
 # Expected wait that any request accepts: asking elsewhere costs a few
 # milliseconds, and a copy of the request between failure domains; seconds.
-SHORT_WAIT = 0.1
+SHORT_WAIT_SECONDS = 0.1
 # Risk up to which a target counts as proven. One that answered a second ago
 # is below it.
 PROVEN_RISK = 0.15
@@ -39,10 +39,10 @@
 # 1.2, where requests of short objectives were refused for want of time).
 RESIDUAL = 1.0
 # What is told as the idle time of a target that never had work, seconds.
-NEVER = 1000.0
+MAX_IDLE_SECONDS = 1000.0
 
 
-class Insist(enum.IntEnum):
+class RequiredHealth(enum.IntEnum):
     """How much doubt about a target a request accepts."""
 
     # Only a target that did well of late.
@@ -62,30 +62,32 @@
 
     Attributes:
         id: Boot and number given by its sender.
-        repeatable: Whether a second run does no harm.
+        idempotent: Whether a second run does no harm.
         priority: Rank; 0 is the most urgent.
         deadline: Monotonic seconds of this process.
-        insist: How much doubt about the target it accepts.
-        aim: Monotonic seconds up to which an answer has its full worth.
+        required_health: How much doubt about the target it accepts.
+        soft_deadline: Monotonic seconds up to which an answer has its full
+            worth.
         route: Name of its route, which tells how long it takes.
         wait: Whether it waits for a slot as long as it can; else it is
             refused where that takes long, as its sender may know a better one.
         start_by: Monotonic seconds by which it must have started; it is
             refused then, as its answer would come too late to wait for.
-        alone: Whether it runs only while nothing else does: it may crash the
+        exclusive: Whether it runs only while nothing else does: it may crash
+            the
             target, and what ran beside it would be lost, and suspected too.
     """
 
     id: tuple[int, int]
-    repeatable: bool
+    idempotent: bool
     priority: int
     deadline: float
-    insist: Insist = Insist.PROVEN
-    aim: float = math.inf
+    required_health: RequiredHealth = RequiredHealth.PROVEN
+    soft_deadline: float = math.inf
     route: str = ""
     wait: bool = True
     start_by: float = math.inf
-    alone: bool = False
+    exclusive: bool = False
 
     @property
     def latest_start(self) -> float:
@@ -129,7 +131,7 @@
 class _Running:
     ticket: Ticket
     started: float
-    usual: latency.Latency
+    usual: latency.Distribution
 
 
 class Controller:
@@ -141,7 +143,7 @@
         self.slots = slots
         self.state = State.IN_SERVICE
         self.health = health.Health()
-        self.latencies = latency.Latencies()
+        self.latencies = latency.RouteLatencies()
         self.version = 1
         # Until when the target is slow after its start, by its own word.
         self.cold_until = 0.0
@@ -164,12 +166,12 @@
         return len(self._waiting)
 
     @property
-    def leaving(self) -> bool:
+    def closed(self) -> bool:
         """Whether the target starts no request any more."""
         return self.state in (State.PAUSED, State.DRAINING, State.LEFT)
 
     @property
-    def left(self) -> bool:
+    def target_leaving(self) -> bool:
         """Whether the target said that it leaves."""
         return self.state in (State.DRAINING, State.LEFT)
 
@@ -181,12 +183,12 @@
             route: The route whose latency is told, where it is known.
         """
         state = self.state
-        if not self.leaving:
-            if self.health.raised:
+        if not self.closed:
+            if self.health.ejected:
                 state = State.SUSPECT
             elif self.health.shedding(now):
                 state = State.SHEDDING
-        usual = self.latencies.known(route)
+        usual = self.latencies.get(route)
         return messages.Load(
             self.running,
             self.waiting,
@@ -194,27 +196,27 @@
             state,
             self.version,
             round(usual.median, 4) if usual else 0.0,
-            round(min(NEVER, now - self._last_start), 2),
-            round(self.health.risk(now), 2),
+            round(min(MAX_IDLE_SECONDS, now - self._last_start), 2),
+            round(self.health.unhealthy_probability(now), 2),
             round(usual.spread, 2) if usual else 0.0,
         )
 
     # Requests.
 
-    def arrive(self, ticket: Ticket, now: float) -> Decision:
+    def admit(self, ticket: Ticket, now: float) -> Decision:
         """Decides on a request."""
         reason = self._unfit(ticket, now)
         if reason is not None:
             return self._refuse(ticket, reason)
         if self._fits(ticket) and not self._waiting:
             return self._start(ticket, now)
-        place = (ticket.priority, ticket.aim, self._arrivals + 1)
-        wait = self._expected_wait(place, now, ticket.alone)
-        takes = self._usual(ticket, now).expected
+        place = (ticket.priority, ticket.soft_deadline, self._arrivals + 1)
+        wait = self._expected_wait(place, now, ticket.exclusive)
+        takes = self._usual(ticket, now).learned_median
         late = now + wait + takes > ticket.deadline
         late = late or now + wait > ticket.start_by
-        full = self.waiting >= QUEUE_FACTOR * self.slots
-        patient = ticket.wait or wait <= SHORT_WAIT
+        full = self.waiting >= MAX_QUEUED_PER_SLOT * self.slots
+        patient = ticket.wait or wait <= SHORT_WAIT_SECONDS
         if not patient or late or full:
             return self._refuse(ticket, Reason.BUSY, wait)
         self._arrivals += 1
@@ -229,7 +231,7 @@
         return len(self._waiting) < before
 
     def finish(
-        self, ticket: Ticket, sign: Sign | None, now: float
+        self, ticket: Ticket, sign: Signal | None, now: float
     ) -> list[Decision]:
         """A started request ended.
 
@@ -245,11 +247,13 @@
         if running is None:
             return []
         took = now - running.started
-        if sign is Sign.WELL:
-            running.usual.note(took)
+        if sign is Signal.WELL:
+            running.usual.record(took)
         elif sign is None:
-            sound = 1 - self.health.risk(now)
-            running.usual.note_cut(took, sound * running.usual.survival(took))
+            sound = 1 - self.health.unhealthy_probability(now)
+            running.usual.record_censored(
+                took, sound * running.usual.survival(took)
+            )
         changed = self.health.end(ticket.id, sign, now)
         return self._judged(changed) + self._next(now)
 
@@ -258,7 +262,7 @@
         if not changed:
             return []
         self.version += 1
-        return self._refuse_doubted() if self.health.raised else []
+        return self._refuse_doubted() if self.health.ejected else []
 
     # Life of the target.
 
@@ -286,20 +290,22 @@
     def tick(self, now: float) -> list[Decision]:
         """Lets time pass: overdue requests raise doubt, late ones leave."""
         decisions: list[Decision] = self._expire(now)
-        decisions += self._judged(self.health.judge(now))
+        decisions += self._judged(self.health.evaluate(now))
         return decisions + self._next(now)
 
-    def excuse(self, seconds: float) -> None:
+    def exclude_pause(self, seconds: float) -> None:
         """This process stood still: requests in flight aged unseen."""
-        self.health.excuse(seconds)
+        self.health.exclude_pause(seconds)
         for running in self._running_by_id.values():
             running.started += seconds
 
-    def _usual(self, ticket: Ticket, now: float) -> latency.Latency:
-        return self.latencies.of(ticket.route, ticket.aim - now)
+    def _usual(self, ticket: Ticket, now: float) -> latency.Distribution:
+        return self.latencies.for_route(
+            ticket.route, ticket.soft_deadline - now
+        )
 
     def _expected_wait(
-        self, place: tuple[int, float, int], now: float, alone: bool
+        self, place: tuple[int, float, int], now: float, exclusive: bool
     ) -> float:
         """Seconds until a slot is likely for one that waits at a place."""
         free = [self._residual(r, now) for r in self._running_by_id.values()]
@@ -311,16 +317,16 @@
                 break
             mean = self._usual(ticket, now).mean
             heapq.heapreplace(free, free[0] + mean)
-        return max(free) if alone else free[0]
+        return max(free) if exclusive else free[0]
 
     @property
     def _closed(self) -> bool:
         """Whether one runs that runs alone."""
-        return any(run.ticket.alone for run in self._running_by_id.values())
+        return any(run.ticket.exclusive for run in self._running_by_id.values())
 
     def _fits(self, ticket: Ticket) -> bool:
         """Whether there is a slot for a request."""
-        if ticket.alone:
+        if ticket.exclusive:
             return not self.running
         return self.running < self.slots and not self._closed
 
@@ -332,23 +338,26 @@
         return min(left, RESIDUAL * running.usual.mean)
 
     def _unfit(self, ticket: Ticket, now: float) -> Reason | None:
-        if self.leaving:
+        if self.closed:
             return Reason.DRAINING
         if ticket.latest_start <= now:
             return Reason.DEADLINE
-        if ticket.repeatable and ticket.insist is Insist.ANY:
+        if ticket.idempotent and ticket.required_health is RequiredHealth.ANY:
             return None
-        if self.health.raised:
-            scout = ticket.repeatable and self.health.may_scout(now)
+        if self.health.ejected:
+            scout = ticket.idempotent and self.health.allows_trial(now)
             return None if scout else Reason.DOUBTED
-        if ticket.repeatable or ticket.insist is not Insist.PROVEN:
+        if (
+            ticket.idempotent
+            or ticket.required_health is not RequiredHealth.PROVEN
+        ):
             return None
-        risky = self.health.risk(now) > PROVEN_RISK
+        risky = self.health.unhealthy_probability(now) > PROVEN_RISK
         cold = now < self.cold_until
         return Reason.UNPROVEN if risky or cold else None
 
     def _start(self, ticket: Ticket, now: float) -> Start:
-        invariants.no_new_work(self.leaving, self.name)
+        invariants.no_new_work(self.closed, self.name)
         usual = self._usual(ticket, now)
         self._running_by_id[ticket.id] = _Running(ticket, now, usual)
         self._last_start = now
@@ -382,7 +391,7 @@
         for index, (_, ticket) in enumerate(self._waiting):
             if ticket.priority != priority:
                 break
-            if now + self._usual(ticket, now).median <= ticket.aim:
+            if now + self._usual(ticket, now).median <= ticket.soft_deadline:
                 return index
         return 0
 
@@ -403,8 +412,8 @@
         """Those that wait go elsewhere; none of them has run."""
         entries = self._waiting
         self._waiting = [e for e in entries if _stays(e[1])]
-        leaving = [e[1] for e in entries if not _stays(e[1])]
-        return [self._refuse(ticket, Reason.DOUBTED) for ticket in leaving]
+        closed = [e[1] for e in entries if not _stays(e[1])]
+        return [self._refuse(ticket, Reason.DOUBTED) for ticket in closed]
 
     def _refuse_all(self, reason: Reason) -> list[Decision]:
         tickets = [entry[1] for entry in self._waiting]
@@ -421,4 +430,4 @@
 
 def _stays(ticket: Ticket) -> bool:
     """Whether a request waits on at a target that is doubted."""
-    return ticket.repeatable and ticket.insist is Insist.ANY
+    return ticket.idempotent and ticket.required_health is RequiredHealth.ANY
--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -42,7 +42,7 @@
         host: Host, lower case, without port.
         prefix: Path prefix; it begins and ends with a slash.
         shares: Services that serve it, by weight.
-        repeatable: Whether a second run of a request does no harm.
+        idempotent: Whether a second run of a request does no harm.
         timeout: Longest time a request may be held, seconds.
         aim: Time within which an answer has its full worth, seconds.
         priority: Rank; 0 is the most urgent.
@@ -54,7 +54,7 @@
     host: str
     prefix: str
     shares: tuple[Share, ...]
-    repeatable: bool
+    idempotent: bool
     timeout: float
     aim: float
     priority: int
--- a/forklift/counters.py
+++ b/forklift/counters.py
@@ -50,11 +50,11 @@
             collections.Counter()
         )
 
-    def refusal(self, reason: str) -> None:
+    def record_refusal(self, reason: str) -> None:
         """What came was refused before it was a request of any service."""
         self.requests_by_outcome[("not-run", str(reason))] += 1
 
-    def request(
+    def record_request(
         self, service: str, outcome: str, reason: str, seconds: float
     ) -> None:
         """A request of a caller ended."""
--- a/forklift/crash_candidates.py
+++ b/forklift/crash_candidates.py
@@ -22,26 +22,26 @@
     def __init__(self):
         self._run_by_id: dict[object, _Run] = {}
 
-    def begin(self, request: object, fingerprint: bytes, now: float) -> None:
+    def add(self, request: object, fingerprint: bytes, now: float) -> None:
         """A request is about to be sent to the target."""
         self._forget(now)
         self._run_by_id[request] = _Run(fingerprint)
 
-    def survived(self, request: object) -> None:
+    def discard(self, request: object) -> None:
         """The target answered it, or did not run it."""
         self._run_by_id.pop(request, None)
 
-    def ended(self, request: object, now: float) -> None:
+    def mark_ended(self, request: object, now: float) -> None:
         """It ended without an answer; the target may still run it."""
         run = self._run_by_id.get(request)
         if run is not None:
             run.ended = now
 
-    def has(self, request: object) -> bool:
+    def contains(self, request: object) -> bool:
         """Whether it is among what a crash now would be held against."""
         return request in self._run_by_id
 
-    def crash(self, now: float) -> set[bytes]:
+    def take_fingerprints(self, now: float) -> set[bytes]:
         """The target crashed: fingerprints of what it may have run."""
         self._forget(now)
         found = {run.fingerprint for run in self._run_by_id.values()}
--- a/forklift/fences.py
+++ b/forklift/fences.py
@@ -10,8 +10,8 @@
 
 from forklift import invariants
 
-REMEMBERED_FOR = 150.0
-Identity: TypeAlias = tuple[int, int]
+RETENTION_SECONDS = 150.0
+RequestKey: TypeAlias = tuple[int, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,42 +24,42 @@
     """Starts and fences of a guard, each remembered past any deadline."""
 
     def __init__(self):
-        self._mark_by_id: collections.OrderedDict[Identity, _Mark] = (
+        self._mark_by_id: collections.OrderedDict[RequestKey, _Mark] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
         return len(self._mark_by_id)
 
-    def may_start(self, request: Identity) -> bool:
+    def may_start(self, request: RequestKey) -> bool:
         """Whether it was neither started nor fenced."""
         return request not in self._mark_by_id
 
-    def started(self, request: Identity) -> bool:
+    def has_started(self, request: RequestKey) -> bool:
         """Whether it passed the point of no return here."""
         mark = self._mark_by_id.get(request)
         return mark is not None and mark.started
 
-    def start(self, request: Identity, now: float) -> bool:
+    def try_start(self, request: RequestKey, now: float) -> bool:
         """Marks the point of no return; False when it must not start."""
         self._expire(now)
         if not self.may_start(request):
             return False
-        self._mark_by_id[request] = _Mark(now + REMEMBERED_FOR, True)
+        self._mark_by_id[request] = _Mark(now + RETENTION_SECONDS, True)
         return True
 
-    def fence(self, request: Identity, now: float) -> bool:
+    def fence(self, request: RequestKey, now: float) -> bool:
         """Forbids a start; False when it has started already."""
         self._expire(now)
         mark = self._mark_by_id.get(request)
         if mark is None:
-            self._mark_by_id[request] = _Mark(now + REMEMBERED_FOR, False)
+            self._mark_by_id[request] = _Mark(now + RETENTION_SECONDS, False)
             return True
         return not mark.started
 
-    def check_not_run(self, request: Identity) -> bool:
+    def check_not_started(self, request: RequestKey) -> bool:
         """Asserts that a request which is reported as not run isn't."""
-        started = self.started(request)
+        started = self.has_started(request)
         return invariants.not_run_is_true(started, f"{request}")
 
     def _expire(self, now: float) -> None:
--- a/forklift/invariants.py
+++ b/forklift/invariants.py
@@ -11,9 +11,9 @@
 
 from forklift import errors
 
-FATAL = False
-broken_by_promise: collections.Counter[str] = collections.Counter()
-checks_by_promise: collections.Counter[str] = collections.Counter()
+RAISE_ON_VIOLATION = False
+violations_by_invariant: collections.Counter[str] = collections.Counter()
+checks_by_invariant: collections.Counter[str] = collections.Counter()
 _log = structlog.get_logger(__name__)
 
 
@@ -32,12 +32,12 @@
     Raises:
         errors.InvariantViolation: When it does not hold and `FATAL` is set.
     """
-    checks_by_promise[promise] += 1
+    checks_by_invariant[promise] += 1
     if holds:
         return True
-    broken_by_promise[promise] += 1
+    violations_by_invariant[promise] += 1
     _log.error("invariant_broken", promise=promise, detail=detail, **evidence)
-    if FATAL:
+    if RAISE_ON_VIOLATION:
         raise errors.InvariantViolation(promise, detail)
     return False
 
--- a/forklift/latency.py
+++ b/forklift/latency.py
@@ -28,15 +28,15 @@
 # Shorter answers than this are not told apart, seconds.
 LEAST = 0.001
 # Objectives above this say nothing of what is usual, seconds.
-MAX_AIM = 10.0
+MAX_OBJECTIVE_SECONDS = 10.0
 # Routes that are remembered at a time; the least lately used one goes first.
 MAX_ROUTES = 256
 
 
-class Latency:
+class Distribution:
     """The latency of one kind of work: log-normal, learned from answers.
 
-    >>> usual = Latency(0.2)
+    >>> usual = Distribution(0.2)
     >>> usual.survival(0.0), round(usual.survival(0.2), 2)
     (1.0, 0.5)
     """
@@ -52,7 +52,7 @@
         return math.exp(self._mean)
 
     @property
-    def expected(self) -> float:
+    def learned_median(self) -> float:
         """The median once a few answers came; until then nothing, seconds.
 
         By the guess alone nothing is refused: requests of a route that was just
@@ -71,11 +71,11 @@
         """Standard deviation of the logarithm."""
         return max(LEAST_SPREAD, math.sqrt(self._variance))
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """An answer took this long."""
         self._learn(math.log(max(LEAST, seconds)), 0.0, 1.0)
 
-    def note_cut(self, seconds: float, weight: float) -> None:
+    def record_censored(self, seconds: float, weight: float) -> None:
         """A request was cut off at this age, before its answer.
 
         Left out, slow answers would be missing just because they are slow,
@@ -108,7 +108,7 @@
         """The latency that lies this many standard deviations up, seconds."""
         return math.exp(self._mean + deviations * self.spread)
 
-    def follow(self, median: float, spread: float, gain: float) -> None:
+    def blend(self, median: float, spread: float, gain: float) -> None:
         """Moves towards what somebody else has learned."""
         self._weight = min(MEMORY, self._weight + 1)
         self._mean += gain * (math.log(max(LEAST, median)) - self._mean)
@@ -126,33 +126,35 @@
         self._variance += gain * (around - self._variance)
 
 
-class Latencies:
+class RouteLatencies:
     """The latencies of many routes, of which the last used are kept."""
 
     def __init__(self):
-        self._latency_by_route: collections.OrderedDict[str, Latency] = (
+        self._latency_by_route: collections.OrderedDict[str, Distribution] = (
             collections.OrderedDict()
         )
 
-    def known(self, route: str) -> Latency | None:
+    def get(self, route: str) -> Distribution | None:
         """The latency of a route, once that was asked for."""
         return self._latency_by_route.get(route)
 
-    def medians(self) -> dict[str, float]:
+    def medians_by_route(self) -> dict[str, float]:
         """Median latencies by route, seconds."""
         latencies = self._latency_by_route.items()
         return {route: round(usual.median, 4) for route, usual in latencies}
 
-    def of(self, route: str, aim: float) -> Latency:
+    def for_route(self, route: str, objective: float) -> Distribution:
         """The latency of a route.
 
         Args:
             route: Its name.
-            aim: Its latency objective in seconds, for the first guess.
+            objective: Its latency objective in seconds, for the first guess.
         """
         found = self._latency_by_route.pop(route, None)
         if found is None:
-            found = Latency(AIM_PART * max(LEAST, min(aim, MAX_AIM)))
+            found = Distribution(
+                AIM_PART * max(LEAST, min(objective, MAX_OBJECTIVE_SECONDS))
+            )
         self._latency_by_route[route] = found
         if len(self._latency_by_route) > MAX_ROUTES:
             self._latency_by_route.popitem(last=False)
--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -46,7 +46,7 @@
 MIN_LOCAL_IDLE_LIMIT = 0.3
 EXPECTED_REQUESTS_LEFT = 1.6
 # As a gate tells that it never had work, less the time since it said so.
-NEVER_USED = admission.NEVER - 10.0
+NEVER_USED = admission.MAX_IDLE_SECONDS - 10.0
 # Seconds between two scouts of this entry to one target.
 PROBE_INTERVAL = 0.25
 # Risk up to which a doubted target is better than to wait on.
@@ -71,16 +71,16 @@
 
     Attributes:
         service: Name of the service.
-        repeatable: Whether a second run does no harm.
-        insist: How much doubt about the target it accepts.
+        idempotent: Whether a second run does no harm.
+        required_health: How much doubt about the target it accepts.
         scout: Whether it may test a target that is doubted or was not used.
         wait: Whether it waits where no slot is free.
         kilobytes: Size of it and its answer, as far as known.
     """
 
     service: str
-    repeatable: bool
-    insist: admission.Insist = admission.Insist.PROVEN
+    idempotent: bool
+    required_health: admission.RequiredHealth = admission.RequiredHealth.PROVEN
     scout: bool = True
     wait: bool = False
     kilobytes: float = 0.0
@@ -93,12 +93,13 @@
     Attributes:
         target: Its name.
         process: Name of the process beside it.
-        insist: How much doubt the request must accept to be let in there.
+        required_health: How much doubt the request must accept to be let in
+            there.
     """
 
     target: str
     process: str
-    insist: admission.Insist = admission.Insist.PROVEN
+    required_health: admission.RequiredHealth = admission.RequiredHealth.PROVEN
 
 
 @dataclasses.dataclass(frozen=True)
@@ -124,7 +125,7 @@
 
     def __init__(self, bounds: RetryBudgetLimits):
         self.view_by_target: dict[str, TargetView] = {}
-        self.failing = rates.Failing()
+        self.failing = rates.FailureRate()
         self.subset: list[str] | None = None
         self.budget = retry_budget.RetryBudget(
             bounds.ratio, bounds.window, bounds.reserve
@@ -144,7 +145,7 @@
         far_cost: float = 0.04,
     ):
         self.reachability = paths.Reachability()
-        self.latencies = latency.Latencies()
+        self.latencies = latency.RouteLatencies()
         self.response_sizes = response_sizes.ResponseSizes()
         # The shortest latency objective of each service's routes, seconds.
         self.least_aim_by_service: dict[str, float] = {}
@@ -165,7 +166,7 @@
         """Takes other bounds on repeats; what was counted stays."""
         self._bounds = bounds
         for group in self._group_by_service.values():
-            group.budget.bound(bounds.ratio, bounds.window, bounds.reserve)
+            group.budget.set_limits(bounds.ratio, bounds.window, bounds.reserve)
 
     # What is known.
 
@@ -268,20 +269,24 @@
             for views in known
         )
         view = self._idle(requirements, sound, group, now)
-        insist = (
-            admission.Insist.PROVEN if view is None else admission.Insist.SOUND
+        required_health = (
+            admission.RequiredHealth.PROVEN
+            if view is None
+            else admission.RequiredHealth.SOUND
         )
-        if view is None and requirements.repeatable and requirements.scout:
+        if view is None and requirements.idempotent and requirements.scout:
             view = self._test(sound, doubted, now)
         if view is None:
             pool = sound or shedding
             anyhow = (
-                requirements.repeatable
-                and requirements.insist is admission.Insist.ANY
+                requirements.idempotent
+                and requirements.required_health is admission.RequiredHealth.ANY
             )
             if not pool and anyhow:
                 promising = [
-                    v for v in doubted if v.risk(now) <= MAX_ACCEPTABLE_RISK
+                    v
+                    for v in doubted
+                    if v.unhealthy_probability(now) <= MAX_ACCEPTABLE_RISK
                 ]
                 pool = doubted if hopeless else promising
             if not requirements.wait:
@@ -296,7 +301,7 @@
         view.in_flight += 1
         view.pick_count += 1
         self.picks += 1
-        return Selection(view.name, view.process, insist)
+        return Selection(view.name, view.process, required_health)
 
     def finish_attempt(
         self,
@@ -304,7 +309,7 @@
         selection: Selection,
         load: messages.Load | None,
         now: float,
-        usual: latency.Latency | None = None,
+        usual: latency.Distribution | None = None,
     ) -> None:
         """An attempt ended, with or without a report of the target's load.
 
@@ -322,32 +327,32 @@
         view.in_flight = max(0, view.in_flight - 1)
         if load is not None:
             view.update_load(load, now)
-            group.failing.told(load.failure_percent / 100, now)
+            group.failing.record_remote(load.failure_percent / 100, now)
             if usual is not None and load.latency > 0:
-                usual.follow(load.latency, load.latency_spread, LATENCY_GAIN)
+                usual.blend(load.latency, load.latency_spread, LATENCY_GAIN)
 
     def record_failure(self, service: str, now: float) -> None:
         """A request of a service failed at its target."""
-        self._group(service).failing.failures.note(now)
+        self._group(service).failing.failures.record(now)
 
     def failure_percent(self, service: str, now: float) -> int:
         """Requests of a service that fail here, of a hundred."""
-        return round(100 * self._group(service).failing.own(now))
+        return round(100 * self._group(service).failing.local(now))
 
     # Repeats.
 
     def record_request(self, service: str, now: float) -> None:
         """A request was taken from a caller: it earns a part of a repeat."""
         group = self._group(service)
-        group.failing.requests.note(now)
-        group.budget.request(now)
+        group.failing.requests.record(now)
+        group.budget.record_request(now)
 
     def spend_retry(
         self,
         service: str,
         now: float,
         share: float = 1.0,
-        aim: float = math.inf,
+        objective: float = math.inf,
     ) -> bool:
         """Takes one repeat from the budget of a service, if it has one.
 
@@ -359,15 +364,15 @@
             service: Name of the service.
             now: Monotonic seconds.
             share: Part of the budget that this kind of repeat may use up.
-            aim: Latency objective of the route, seconds.
+            objective: Latency objective of the route, seconds.
         """
         spent = self._group(service).budget
         if not spent.spend(now, self.process_count, share):
             return False
         for name, group in self._group_by_service.items():
-            callable_ = self.least_aim_by_service.get(name, 0.0) < aim
+            callable_ = self.least_aim_by_service.get(name, 0.0) < objective
             if callable_ and name != service:
-                group.budget.charge(now, self._bounds.calls)
+                group.budget.charge_calls(now, self._bounds.calls)
         return True
 
     def retries_refused(self, service: str) -> int:
@@ -422,12 +427,12 @@
         if not requirements.scout:
             return None
         age = LOCAL_IDLE_LIMIT
-        if not requirements.repeatable:
+        if not requirements.idempotent:
             age = self._age_in_trouble(group, now)
         for view in sound:
             if view.process == self._name and view.idle_seconds(now) > age:
                 return view if view.load(now) < view.slots else None
-        for view in sound if requirements.repeatable else ():
+        for view in sound if requirements.idempotent else ():
             if view.wants_work and view.load(now) < view.slots:
                 view.wants_work = False
                 return view
@@ -439,9 +444,11 @@
         One that never had any is as good as all others at a start, when nothing
         is known of them either.
         """
-        if group.failing.share(now) < HIGH_FAILURE_SHARE:
+        if group.failing.combined(now) < HIGH_FAILURE_SHARE:
             return NEVER_USED
-        left = EXPECTED_REQUESTS_LEFT * group.failing.requests.gap(now)
+        left = EXPECTED_REQUESTS_LEFT * group.failing.requests.mean_interval(
+            now
+        )
         return max(MIN_LOCAL_IDLE_LIMIT, CAPACITY_FLOOR_WINDOW - left)
 
     def _test(
@@ -494,8 +501,8 @@
             )
         loss = (
             IDEMPOTENT_LOSS
-            if requirements.repeatable
-            else health.FAILS_WHEN_BAD
+            if requirements.idempotent
+            else health.UNHEALTHY_FAILURE_RATE
         )
         return spread.Candidate(
             view.name,
@@ -504,7 +511,7 @@
             max(spread.MIN_WEIGHT, weight),
             view.same_domain,
             view.pick_count,
-            loss * view.risk(now),
+            loss * view.unhealthy_probability(now),
             0.0
             if view.same_domain
             else self.far_cost * (HEADER_KILOBYTES + requirements.kilobytes),
--- a/forklift/local_quota.py
+++ b/forklift/local_quota.py
@@ -113,7 +113,7 @@
 
     def __init__(self, now: float):
         self.bucket = rate_limits.TokenBucket(now)
-        self.arrivals = rates.Rate(DEMAND_WINDOW_SECONDS)
+        self.arrivals = rates.DecayingCounter(DEMAND_WINDOW_SECONDS)
         self.seen_at = now
         # Until when nothing is left, by the word of the allocator.
         self.empty_until = -math.inf
@@ -123,7 +123,7 @@
 
     def rate(self, now: float) -> float:
         """Requests a second that came of late."""
-        return self.arrivals.recent(now) / DEMAND_WINDOW_SECONDS
+        return self.arrivals.count(now) / DEMAND_WINDOW_SECONDS
 
 
 def shard_of(organisation: str) -> int:
@@ -168,7 +168,7 @@
         if limit is None or not limit.limited:
             return AdmissionResult(Decision.ADMIT)
         use = self._use(organisation, now)
-        use.arrivals.note(now)
+        use.arrivals.record(now)
         use.seen_at = now
         self._earn(organisation, use, now)
         if use.bucket.try_take():
--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -92,7 +92,7 @@
         latency: Median latency of the route that is answered, seconds; 0 when
             unknown.
         idle: Seconds since a request last began there.
-        risk: How likely it is in a bad phase, 0 to 1.
+        unhealthy_probability: How likely it is in a bad phase, 0 to 1.
         latency_spread: Standard deviation of the logarithm of that latency.
         failure_percent: Requests of the service that fail, of a hundred, as the
             process beside the target sees it in its own.
@@ -105,7 +105,7 @@
     version: int
     latency: float
     idle: float = 0.0
-    risk: float = 0.0
+    unhealthy_probability: float = 0.0
     latency_spread: float = 0.0
     failure_percent: int = 0
 
@@ -151,7 +151,7 @@
         headers: End-to-end headers.
         request_id: Identity that logs and answers carry.
         remaining: Seconds left until the deadline, when sent.
-        repeatable: Whether a second run does no harm.
+        idempotent: Whether a second run does no harm.
         incarnation: Incarnation of the receiver that the sender knows.
         length: Length of the body in bytes, -1 when chunked.
         body: The first bytes of the body.
@@ -160,14 +160,16 @@
         route: Name of the route.
         origin: Service on the instance where the request began.
         priority: Rank; 0 is the most urgent.
-        insist: How much doubt about its target it accepts; see
-            `admission.Insist`.
-        aim: Seconds left, when sent, for an answer of full worth; negative
+        required_health: How much doubt about its target it accepts; see
+            `admission.RequiredHealth`.
+        objective_remaining: Seconds left, when sent, for an answer of full
+            worth; negative
             when that has passed.
         wait: Whether it waits for a slot, rather than being refused.
         start_within: Seconds, when sent, within which it must have started.
         fingerprint: Tells it from all others; the same when it comes again.
-        alone: Whether it runs only where nothing else does: a target crashed
+        exclusive: Whether it runs only where nothing else does: a target
+            crashed
             that was running it.
         organisation: Name of the organisation that calls, if any.
     """
@@ -181,7 +183,7 @@
     headers: tuple[tuple[bytes, bytes], ...]
     request_id: str
     remaining: float
-    repeatable: bool
+    idempotent: bool
     incarnation: int
     length: int
     body: bytes
@@ -189,12 +191,12 @@
     route: str
     origin: str = ""
     priority: int = 0
-    insist: int = 0
-    aim: float = 0.0
+    required_health: int = 0
+    objective_remaining: float = 0.0
     wait: bool = False
     start_within: float = math.inf
     fingerprint: bytes = b""
-    alone: bool = False
+    exclusive: bool = False
     organisation: str = ""
 
 
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -205,7 +205,7 @@
         host=found.host.lower(),
         prefix=found.path_prefix,
         shares=shares,
-        repeatable=found.kind == _REPEATABLE,
+        idempotent=found.kind == _REPEATABLE,
         timeout=found.timeout_ms / MILLI,
         aim=found.target_latency_ms / MILLI,
         priority=found.priority,
--- a/forklift/rates.py
+++ b/forklift/rates.py
@@ -11,13 +11,13 @@
 TOLD_COUNT = 10.0
 
 
-class Rate:
+class DecayingCounter:
     """Counts what happens, and forgets it within some seconds.
 
-    >>> rate = Rate(2.0)
+    >>> rate = DecayingCounter(2.0)
     >>> for tenth in range(100):
-    ...     rate.note(tenth / 10)
-    >>> round(rate.recent(9.9)), round(rate.gap(9.9), 1)
+    ...     rate.record(tenth / 10)
+    >>> round(rate.count(9.9)), round(rate.mean_interval(9.9), 1)
     (20, 0.1)
     """
 
@@ -31,24 +31,24 @@
         self._count = 0.0
         self._at = -math.inf
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """It happened."""
-        self._count = self.recent(now) + 1.0
+        self._count = self.count(now) + 1.0
         self._at = now
 
-    def recent(self, now: float) -> float:
+    def count(self, now: float) -> float:
         """How often it happened within about those seconds."""
         if not self._count:
             return 0.0
         return self._count * math.exp(-(now - self._at) / self._seconds)
 
-    def gap(self, now: float) -> float:
+    def mean_interval(self, now: float) -> float:
         """Seconds between two of them, in the mean; infinite without any."""
-        recent = self.recent(now)
+        recent = self.count(now)
         return self._seconds / recent if recent else math.inf
 
 
-class Failing:
+class FailureRate:
     """Which share of the requests of a service fail, by a few of many eyes.
 
     An entry of a large fleet sees one request a second, and a single failure
@@ -57,27 +57,27 @@
     """
 
     def __init__(self):
-        self.requests = Rate(SHARE_WINDOW)
-        self.failures = Rate(SHARE_WINDOW)
+        self.requests = DecayingCounter(SHARE_WINDOW)
+        self.failures = DecayingCounter(SHARE_WINDOW)
         self._told = 0.0
         self._told_at = -math.inf
 
-    def told(self, share: float, now: float) -> None:
+    def record_remote(self, share: float, now: float) -> None:
         """Another process told the share that it sees."""
         weight = math.exp(-(now - self._told_at) / SHARE_WINDOW)
         gain = max(TOLD_GAIN, 1 - weight)
         self._told += gain * (share - self._told)
         self._told_at = now
 
-    def own(self, now: float) -> float:
+    def local(self, now: float) -> float:
         """The share that this process sees itself, 0 to 1."""
-        requests = self.requests.recent(now)
-        failures = self.failures.recent(now)
+        requests = self.requests.count(now)
+        failures = self.failures.count(now)
         return min(1.0, failures / max(1.0, requests))
 
-    def share(self, now: float) -> float:
+    def combined(self, now: float) -> float:
         """The share by all that is known, 0 to 1."""
         age = now - self._told_at
         told = TOLD_COUNT * math.exp(-age / SHARE_WINDOW)
-        failures = self.failures.recent(now) + told * self._told
-        return min(1.0, failures / max(1.0, self.requests.recent(now) + told))
+        failures = self.failures.count(now) + told * self._told
+        return min(1.0, failures / max(1.0, self.requests.count(now) + told))
--- a/forklift/response_sizes.py
+++ b/forklift/response_sizes.py
@@ -12,10 +12,10 @@
     """Mean sizes of answers, by route.
 
     >>> sizes = ResponseSizes()
-    >>> sizes.of("r")
+    >>> sizes.mean_bytes("r")
     0.0
-    >>> sizes.note("r", 2000)
-    >>> sizes.of("r")
+    >>> sizes.record("r", 2000)
+    >>> sizes.mean_bytes("r")
     2000.0
     """
 
@@ -24,11 +24,11 @@
             collections.OrderedDict()
         )
 
-    def of(self, route: str) -> float:
+    def mean_bytes(self, route: str) -> float:
         """Mean size of the answers of a route, bytes; 0 while unknown."""
         return self._size_by_route.get(route, 0.0)
 
-    def note(self, route: str, size: int) -> None:
+    def record(self, route: str, size: int) -> None:
         """An answer had this size, in bytes."""
         known = self._size_by_route.pop(route, float(size))
         self._size_by_route[route] = known + GAIN * (size - known)
--- a/forklift/retries.py
+++ b/forklift/retries.py
@@ -105,7 +105,7 @@
         """Whether gates said that waiting takes too long, or has taken so."""
         return self._expired or self._queue_rejections >= MAX_QUEUE_REJECTIONS
 
-    def start_by(self, usual: latency.Latency, aim: float) -> float:
+    def start_by(self, usual: latency.Distribution, aim: float) -> float:
         """When it must have started; what ran once already is not bound.
 
         Where there is too little for all, each slot given to a request that
@@ -123,15 +123,19 @@
         latest = min(
             self.process_exits_at, self.started + START_DEADLINE_SHARE * whole
         )
-        timely = max(aim - usual.expected, self.started + MIN_QUEUE_TIME)
+        timely = max(aim - usual.learned_median, self.started + MIN_QUEUE_TIME)
         return min(latest, timely)
 
-    def insist(self, now: float) -> admission.Insist:
+    def required_health(self, now: float) -> admission.RequiredHealth:
         """How much doubt about a target it accepts by now."""
         whole = self.deadline - self.started
         if now >= self.started + RELAX_AFTER_SHARE * whole:
-            return admission.Insist.ANY
-        return admission.Insist.SOUND if self.sound else admission.Insist.PROVEN
+            return admission.RequiredHealth.ANY
+        return (
+            admission.RequiredHealth.SOUND
+            if self.sound
+            else admission.RequiredHealth.PROVEN
+        )
 
     def relax_requirements(self) -> bool:
         """Accepts a worse target, where that is left; True when it is.
@@ -186,7 +190,7 @@
         self.exclusive = self.exclusive or reason is Reason.TARGET_CRASHED
 
     def should_give_up(
-        self, usual: latency.Latency, aim: float, now: float
+        self, usual: latency.Distribution, aim: float, now: float
     ) -> bool:
         """Whether it is given up: no answer can come in time any more.
 
@@ -207,7 +211,7 @@
         return self.attempts > 0 and now + usual.median / 2 > self.deadline
 
     def hedge_delay(
-        self, usual: latency.Latency, aim: float, now: float
+        self, usual: latency.Distribution, aim: float, now: float
     ) -> float | None:
         """Seconds until a second attempt beside the first; None for none.
 
--- a/forklift/retry_budget.py
+++ b/forklift/retry_budget.py
@@ -10,13 +10,13 @@
 
 # Part of the allowance that is used; the rest covers what is on its way when
 # the window moves.
-USED_SHARE = 0.9
+USABLE_SHARE = 0.9
 
 
-class Window:
+class SlidingWindow:
     """Counts events of the last seconds.
 
-    >>> window = Window(10.0)
+    >>> window = SlidingWindow(10.0)
     >>> window.add(0.0)
     >>> window.count(9.0), window.count(11.0)
     (1, 0)
@@ -48,8 +48,8 @@
     def __init__(self, ratio: float, window: float, reserve: float):
         self._ratio = ratio
         self._reserve = reserve
-        self._requests = Window(window)
-        self._repeats = Window(window)
+        self._requests = SlidingWindow(window)
+        self._repeats = SlidingWindow(window)
         self._charged = 0.0
         self._charges: collections.deque[tuple[float, float]] = (
             collections.deque()
@@ -58,7 +58,7 @@
         self._most_processes = 0
         self.refused = 0
 
-    def bound(self, ratio: float, window: float, reserve: float) -> None:
+    def set_limits(self, ratio: float, window: float, reserve: float) -> None:
         """Takes other bounds; what was counted stays."""
         self._ratio = ratio
         self._reserve = reserve
@@ -66,7 +66,7 @@
         self._repeats.seconds = window
         self._window = window
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """A request of the service was taken from a caller."""
         self._requests.add(now)
 
@@ -87,13 +87,13 @@
             reserve = self._reserve / self._most_processes
         allowed = self._ratio * self._requests.count(now) + reserve
         used = self._repeats.count(now) + self._called(now)
-        if used + 1 > USED_SHARE * share * allowed:
+        if used + 1 > USABLE_SHARE * share * allowed:
             self.refused += 1
             return False
         self._repeats.add(now)
         return True
 
-    def charge(self, now: float, calls: float) -> None:
+    def charge_calls(self, now: float, calls: float) -> None:
         """A repeat of another service may make calls to this one.
 
         Args:
--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -21,13 +21,13 @@
 
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
-Sign = health.Sign
+Signal = health.Signal
 
 # Of the identity of a crash: two are never the same in a fleet.
 _CRASH_BITS = 63
 _SIGN_BY_REASON = {
-    Reason.CONNECT_FAILED: Sign.UNREACHABLE,
-    Reason.SHED: Sign.SHED,
+    Reason.CONNECT_FAILED: Signal.UNREACHABLE,
+    Reason.SHED: Signal.SHED,
 }
 
 
@@ -178,15 +178,15 @@
         if held:
             return exchange.not_run(Reason.QUARANTINED, held)
         if self._quarantine.is_suspected(fingerprint, now):
-            ticket = dataclasses.replace(ticket, alone=True)
-        if ticket.repeatable:
+            ticket = dataclasses.replace(ticket, exclusive=True)
+        if ticket.idempotent:
             return await self._admitted(site, ticket, request, sink)
         kept = _Leaving(sink)
         task = asyncio.create_task(self._admitted(site, ticket, request, kept))
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            if self.fences.started(ticket.id):
+            if self.fences.has_started(ticket.id):
                 kept.gone = True
                 self._detached.add(task)
                 task.add_done_callback(self._forget)
@@ -194,7 +194,7 @@
                 task.cancel()
             raise
 
-    def fence(self, identity: fences.Identity) -> bool:
+    def fence(self, identity: fences.RequestKey) -> bool:
         """Forbids a start; True when it is proven never to run."""
         return self.fences.fence(identity, self._clock.monotonic())
 
@@ -204,7 +204,7 @@
             _log.info("detached_ended", detail=repr(task.exception()))
 
     def _fenced(self, ticket: admission.Ticket) -> exchange.Result:
-        if self.fences.started(ticket.id):
+        if self.fences.has_started(ticket.id):
             return exchange.unknown(Reason.FENCED)
         return exchange.not_run(Reason.FENCED)
 
@@ -217,11 +217,11 @@
     ) -> exchange.Result:
         self.running += 1
         try:
-            decision = site.controller.arrive(ticket, self._clock.monotonic())
+            decision = site.controller.admit(ticket, self._clock.monotonic())
             if isinstance(decision, admission.Wait):
                 decision = await self._wait(site, ticket)
             if isinstance(decision, admission.Refuse):
-                self.fences.check_not_run(ticket.id)
+                self.fences.check_not_started(ticket.id)
                 load = self._load(site, request.route)
                 return exchange.not_run(
                     decision.reason, decision.retry_after, load
@@ -261,7 +261,7 @@
             self._dialect,
             self._clock.monotonic,
         )
-        sign: Sign | None = None
+        sign: Signal | None = None
         exposed = site.candidates
         try:
             remaining = ticket.deadline - self._clock.monotonic()
@@ -271,14 +271,14 @@
                     lambda: self._load(site, request.route),
                     sink,
                 )
-            exposed.survived(ticket.id)
+            exposed.discard(ticket.id)
             sign = self._sign(site.controller.service, status)
-            if sign is Sign.WELL:
+            if sign is Signal.WELL:
                 # In a bad phase it may fail what would crash it otherwise.
                 self._served(request.fingerprint)
             result = exchange.answered(status, site.controller.name)
         except pools.NotSent as error:
-            exposed.survived(ticket.id)
+            exposed.discard(ticket.id)
             if isinstance(error.__cause__, ConnectionRefusedError):
                 self.crashed(site)
             sign = _SIGN_BY_REASON.get(error.reason)
@@ -286,9 +286,9 @@
             held = self._quarantine.quarantined_for(request.fingerprint, now)
             result = exchange.not_run(error.reason, held)
         except upstream.AnswerBroken as error:
-            sign = Sign.BROKEN
+            sign = Signal.BROKEN
             reason = error.reason
-            exposed.ended(ticket.id, self._clock.monotonic())
+            exposed.mark_ended(ticket.id, self._clock.monotonic())
             if reason is Reason.TARGET_BROKE and await self._ended(
                 site, ticket
             ):
@@ -305,7 +305,7 @@
             # That it was late was noted while it ran.
             result = self._timed_out(ticket)
         finally:
-            exposed.ended(ticket.id, self._clock.monotonic())
+            exposed.mark_ended(ticket.id, self._clock.monotonic())
             self._finish(site, ticket, sign)
         return dataclasses.replace(result, load=self._load(site, request.route))
 
@@ -314,18 +314,18 @@
 
         Most that break answers off live on.
         """
-        if not site.candidates.has(ticket.id):
+        if not site.candidates.contains(ticket.id):
             # Another request that it ran found out already.
             return True
-        if await site.pool.refuses() and site.candidates.has(ticket.id):
+        if await site.pool.refuses() and site.candidates.contains(ticket.id):
             self.crashed(site)
-        return not site.candidates.has(ticket.id)
+        return not site.candidates.contains(ticket.id)
 
     def crashed(self, site: Site) -> None:
         """A target ended; unless it said before that it leaves, it crashed."""
         now = self._clock.monotonic()
-        running = site.candidates.crash(now)
-        if not running or site.controller.left:
+        running = site.candidates.take_fingerprints(now)
+        if not running or site.controller.target_leaving:
             return
         crash = secrets.randbits(_CRASH_BITS)
         self._quarantine.record_crash(running, crash, now)
@@ -352,16 +352,16 @@
     ) -> Reason | None:
         """The first byte is about to be sent: the point of no return."""
         now = self._clock.monotonic()
-        if site.controller.leaving:
+        if site.controller.closed:
             return Reason.DRAINING
         if ticket.deadline <= now:
             return Reason.DEADLINE
         if self._quarantine.quarantined_for(fingerprint, now):
             # It crashed others while it waited here.
             return Reason.QUARANTINED
-        if not self.fences.start(ticket.id, now):
+        if not self.fences.try_start(ticket.id, now):
             return Reason.FENCED
-        site.candidates.begin(ticket.id, fingerprint, now)
+        site.candidates.add(ticket.id, fingerprint, now)
         return None
 
     def _load(self, site: Site, route: str) -> messages.Load:
@@ -371,17 +371,17 @@
             site.controller.load(now, route), failure_percent=failing
         )
 
-    def _sign(self, service: str, status: int) -> Sign:
+    def _sign(self, service: str, status: int) -> Signal:
         program: policy.ServicePolicy = self._program(service)
-        return Sign.ERROR if program.is_failure(status) else Sign.WELL
+        return Signal.ERROR if program.is_failure(status) else Signal.WELL
 
     def _timed_out(self, ticket: admission.Ticket) -> exchange.Result:
-        if self.fences.started(ticket.id):
+        if self.fences.has_started(ticket.id):
             return exchange.unknown(Reason.TIMEOUT)
         return exchange.not_run(Reason.DEADLINE)
 
     def _finish(
-        self, site: Site, ticket: admission.Ticket, sign: Sign | None
+        self, site: Site, ticket: admission.Ticket, sign: Signal | None
     ) -> None:
         version = site.controller.version
         now = self._clock.monotonic()
--- a/forklift/shell/exchange.py
+++ b/forklift/shell/exchange.py
@@ -73,10 +73,11 @@
         length: Length of the body, -1 when chunked.
         body: The body.
         deadline: Monotonic seconds.
-        repeatable: Whether a second run does no harm.
+        idempotent: Whether a second run does no harm.
         origin: Service on the instance where it began.
         priority: Rank; 0 is the most urgent.
-        aim: Monotonic seconds up to which an answer has its full worth.
+        soft_deadline: Monotonic seconds up to which an answer has its full
+            worth.
         attempts: Targets that it may be sent to.
         fingerprint: Tells it from all others; the same when it comes again.
         organisation: Name of the organisation that calls; empty where the
@@ -93,10 +94,10 @@
     length: int
     body: Body
     deadline: float
-    repeatable: bool
+    idempotent: bool
     origin: str = ""
     priority: int = 0
-    aim: float = math.inf
+    soft_deadline: float = math.inf
     attempts: int = 3
     fingerprint: bytes = b""
     organisation: str = ""
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -207,7 +207,7 @@
             refusals=dict(retry_state.refusals_by_reason),
             sends=retry_state.attempts,
             waits=retry_state.wait,
-            insist=retry_state.insist(self._now()).name.lower(),
+            insist=retry_state.required_health(self._now()).name.lower(),
             targets=self._balancer.count_by_state(service, self._now()),
             repeats_refused=self._balancer.retries_refused(service),
         )
@@ -220,26 +220,30 @@
         return self._forwarder.program(self._request.service)
 
     @property
-    def _usual(self) -> latency.Latency:
+    def _usual(self) -> latency.Distribution:
         """How long requests of its route take."""
         route = self._request.route
-        return self._balancer.latencies.of(route, self._objective)
+        return self._balancer.latencies.for_route(route, self._objective)
 
     @property
     def _objective(self) -> float:
         """Seconds within which an answer has its full worth."""
-        return self._request.aim - self._retry_state.started
+        return self._request.soft_deadline - self._retry_state.started
 
     @property
     def _start_by(self) -> float:
-        return self._retry_state.start_by(self._usual, self._request.aim)
+        return self._retry_state.start_by(
+            self._usual, self._request.soft_deadline
+        )
 
     @property
     def _kilobytes(self) -> float:
         """Size of the request and of its answer, as far as known."""
         request = self._request
         sent = max(request.length, len(request.body.first))
-        return (sent + self._balancer.response_sizes.of(request.route)) / 1024
+        return (
+            sent + self._balancer.response_sizes.mean_bytes(request.route)
+        ) / 1024
 
     def _held_for(self) -> float:
         """Seconds for which it is held back, as it crashes targets."""
@@ -263,7 +267,7 @@
 
     async def _go(self) -> exchange.Result:
         result = exchange.not_run(Reason.NO_TARGET, RETRY_AFTER)
-        aim = self._request.aim
+        aim = self._request.soft_deadline
         while not self._retry_state.should_give_up(
             self._usual, aim, self._now()
         ):
@@ -296,8 +300,8 @@
         retry_state, now = self._retry_state, self._now()
         requirements = load_balancer.Requirements(
             self._request.service,
-            self._request.repeatable,
-            retry_state.insist(now),
+            self._request.idempotent,
+            retry_state.required_health(now),
             scout=retry_state.attempts == 0,
             wait=retry_state.wait,
             kilobytes=self._kilobytes,
@@ -316,7 +320,7 @@
         if retry_state.attempts >= self._request.attempts:
             return False
         retry_state.budget_charged = self._balancer.spend_retry(
-            self._request.service, self._now(), aim=self._objective
+            self._request.service, self._now(), objective=self._objective
         )
         return retry_state.budget_charged
 
@@ -330,7 +334,7 @@
             return self._again and not self._retry_state.exhausted
         self._retry_state.record_run(target, ending.reason)
         self._note_failure(ending)
-        if not self._request.repeatable:
+        if not self._request.idempotent:
             invariants.at_most_once(
                 self._retry_state.possible_runs, self._request.id
             )
@@ -360,7 +364,7 @@
                 status=ending.status,
                 outcome=str(ending.outcome),
                 reason=str(ending.reason or ""),
-                repeatable=request.repeatable,
+                repeatable=request.idempotent,
                 method=request.method.decode("latin-1"),
                 remaining=request.deadline - self._now(),
             )
@@ -378,7 +382,7 @@
     ) -> racing.Attempt:
         # Tells answers that another target may replace.
         is_failure = None
-        if self._request.repeatable and self._request.body.again:
+        if self._request.idempotent and self._request.body.again:
             is_failure = self._program.is_failure
         holding = holdings.Holding(self._sink, is_failure, self._turn)
         task = asyncio.create_task(self._attempt(selection, holding, second))
@@ -387,14 +391,14 @@
     def _patience(self) -> float | None:
         """Seconds until a second attempt; None where there is none."""
         request = self._request
-        once = not request.repeatable or not request.body.again
+        once = not request.idempotent or not request.body.again
         if once or self._retry_state.attempts + 2 > request.attempts:
             return None
         if self._alone:
             # A second target is not put at risk beside the first.
             return None
         return self._retry_state.hedge_delay(
-            self._usual, request.aim, self._now()
+            self._usual, request.soft_deadline, self._now()
         )
 
     def _second(
@@ -440,21 +444,24 @@
         second: bool,
     ) -> exchange.Result:
         self._forwarder.sends += 1
-        insist = max(self._retry_state.insist(self._now()), selection.insist)
+        required_health = max(
+            self._retry_state.required_health(self._now()),
+            selection.required_health,
+        )
         # One that goes beside another need not start as soon.
         start_by = math.inf if second else self._start_by
         result = None
         try:
             if selection.process == self._forwarder.name:
                 result = await self._run_here(
-                    selection, holding, insist, start_by
+                    selection, holding, required_health, start_by
                 )
             else:
                 result = await self._forwarder.sender.send(
                     self._request,
                     selection,
                     holding,
-                    insist,
+                    required_health,
                     self._retry_state.wait,
                     start_by,
                     self._alone,
@@ -468,7 +475,7 @@
                 self._turn.give_back(holding)
             load = result.load if result is not None else None
             if holding.length > 0:
-                self._balancer.response_sizes.note(
+                self._balancer.response_sizes.record(
                     self._request.route, holding.length
                 )
             service = self._request.service
@@ -480,17 +487,17 @@
         self,
         selection: load_balancer.Selection,
         sink: exchange.Sink,
-        insist: admission.Insist,
+        required_health: admission.RequiredHealth,
         start_by: float,
     ) -> exchange.Result:
         request = self._request
         ticket = admission.Ticket(
             (self._forwarder.boot, self._forwarder.next_seq()),
-            request.repeatable,
+            request.idempotent,
             request.priority,
             request.deadline,
-            insist,
-            request.aim,
+            required_health,
+            request.soft_deadline,
             request.route,
             self._retry_state.wait,
             start_by,
--- a/forklift/shell/peers.py
+++ b/forklift/shell/peers.py
@@ -35,8 +35,8 @@
 class _Asked:
     """A request that this side sent and that is not over."""
 
-    def __init__(self, repeatable: bool):
-        self.repeatable = repeatable
+    def __init__(self, idempotent: bool):
+        self.idempotent = idempotent
         self.head: asyncio.Future = asyncio.get_running_loop().create_future()
         self.pieces: exchange.Pieces | None = None
         self.sending = framing.Sending(0)
@@ -94,7 +94,7 @@
         if self.lost:
             # Its first frame goes nowhere, so it has not run.
             raise errors.PeerUnreachable(self.peer.name, "lost")
-        asked = _Asked(start.repeatable)
+        asked = _Asked(start.idempotent)
         self._asked_by_id[start.id] = asked
         self.waiting += 1
         upload = None
@@ -158,7 +158,7 @@
         """
         self.silenced.set()
         for asked in self._asked_by_id.values():
-            if asked.repeatable:
+            if asked.idempotent:
                 self._break(asked)
         if not self._asked_by_id:
             self.close()
--- a/forklift/shell/pool.py
+++ b/forklift/shell/pool.py
@@ -54,7 +54,7 @@
         self._idle: collections.deque[_Idle] = collections.deque()
         self._busy: set[wire.Connection] = set()
 
-    async def take(self, repeatable: bool) -> wire.Connection:
+    async def take(self, idempotent: bool) -> wire.Connection:
         """A connection that carries nothing.
 
         Raises:
@@ -65,7 +65,7 @@
             idle = self._idle.pop()
             usable = not idle.connection.closed and not idle.connection.buffered
             fresh = self._now() - idle.since < IDLE_UNREPEATABLE
-            if usable and (repeatable or fresh):
+            if usable and (idempotent or fresh):
                 self.reused += 1
                 self._busy.add(idle.connection)
                 return idle.connection
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -215,7 +215,7 @@
                 next_seq=self.forwarder.next_seq,
                 on_result=self._on_result,
                 origin=lambda: self.settings.platform.service,
-                on_problem=self.counters.refusal,
+                on_problem=self.counters.record_refusal,
             ),
             self.settings.limits.callers,
             self.clock,
@@ -417,21 +417,21 @@
         load = changed.load(self.clock.monotonic())
         standing = messages.LoadUpdate(changed.name, load)
         since = float("-inf")
-        if not changed.leaving:
+        if not changed.closed:
             since = asyncio.get_running_loop().time() - NEWS_FOR
         for served in list(self.served):
             served.tell(standing, since)
-        if changed.health.raised:
-            self.counters.ejections_by_signal[str(changed.health.sign)] += 1
+        if changed.health.ejected:
+            self.counters.ejections_by_signal[str(changed.health.signal)] += 1
         _log.info(
             "target_changed",
             target=changed.name,
             state=str(standing.load.state),
-            sign=str(changed.health.sign),
-            risk=load.risk,
+            sign=str(changed.health.signal),
+            risk=load.unhealthy_probability,
             running=load.in_flight,
         )
-        if changed.leaving:
+        if changed.closed:
             self.neighbours.tell_all()
 
     def _standing(self, standing: messages.LoadUpdate) -> None:
@@ -464,7 +464,7 @@
             length=start.length,
             body=body,
             deadline=now + start.remaining,
-            repeatable=start.repeatable,
+            idempotent=start.idempotent,
             origin=start.origin,
             priority=start.priority,
             fingerprint=start.fingerprint,
@@ -472,15 +472,17 @@
         )
         ticket = admission.Ticket(
             (served.peer.boot, start.seq),
-            start.repeatable,
+            start.idempotent,
             start.priority,
             request.deadline,
-            admission.Insist(min(start.insist, admission.Insist.ANY)),
-            now + start.aim,
+            admission.RequiredHealth(
+                min(start.required_health, admission.RequiredHealth.ANY)
+            ),
+            now + start.objective_remaining,
             start.route,
             start.wait,
             now + start.start_within,
-            start.alone,
+            start.exclusive,
         )
         return await self.beside.run(start.target, ticket, request, answerer)
 
@@ -530,7 +532,7 @@
         ending = result.ending
         outcome = str(ending.outcome)
         reason = str(ending.reason or "")
-        self.counters.request(request.service, outcome, reason, seconds)
+        self.counters.record_request(request.service, outcome, reason, seconds)
         failed = ending.outcome is not messages.Outcome.ANSWERED
         if failed or ending.status >= 400:
             _log.info(
@@ -539,7 +541,7 @@
                 service=request.service,
                 route=request.route,
                 organisation=request.organisation,
-                repeatable=request.repeatable,
+                repeatable=request.idempotent,
                 outcome=outcome,
                 reason=reason,
                 fingerprint=request.fingerprint.hex(),
@@ -583,7 +585,7 @@
             self._tick()
         except Exception:
             _log.exception("tick_failed")
-            if invariants.FATAL:
+            if invariants.RAISE_ON_VIOLATION:
                 raise
 
     def _tick(self) -> None:
@@ -640,7 +642,7 @@
         self.incarnation += 1
         _log.warning("paused", seconds=round(paused, 2))
         for site in self.beside.site_by_target.values():
-            site.controller.excuse(paused)
+            site.controller.exclude_pause(paused)
         self.neighbours.paused()
 
 
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -19,7 +19,7 @@
         proxy.policy.name,
         _targets(proxy),
         _processes(proxy),
-        dict(invariants.broken_by_promise),
+        dict(invariants.violations_by_invariant),
     )
 
 
@@ -92,13 +92,13 @@
         found.service,
         proxy.directory.own.name,
         str(load.state),
-        str(found.health.sign),
+        str(found.health.signal),
         found.running,
         found.waiting,
         found.slots,
         load.idle,
-        load.risk,
-        found.latencies.medians(),
+        load.unhealthy_probability,
+        found.latencies.medians_by_route(),
         {str(r): count for r, count in found.refusals_by_reason.items()},
         _changes(proxy, site),
     )
@@ -109,9 +109,9 @@
     return tuple(
         report.Change(
             round(change.at + offset, 3),
-            change.doubted,
-            str(change.sign),
-            change.risk,
+            change.ejected,
+            str(change.signal),
+            change.unhealthy_probability,
         )
         for change in site.controller.health.changes
     )
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -61,10 +61,10 @@
         request: exchange.Request,
         selection: load_balancer.Selection,
         sink: exchange.Sink,
-        insist: admission.Insist,
+        required_health: admission.RequiredHealth,
         wait: bool,
         start_by: float,
-        alone: bool = False,
+        exclusive: bool = False,
     ) -> exchange.Result:
         """Sends a request over the path to a guard.
 
@@ -72,10 +72,10 @@
             request: The request.
             selection: The target and the process beside it.
             sink: Where the answer goes.
-            insist: How much doubt about the target it accepts.
+            required_health: How much doubt about the target it accepts.
             wait: Whether it waits there for a slot.
             start_by: Monotonic seconds by which it must have started there.
-            alone: Whether it runs only while nothing else does.
+            exclusive: Whether it runs only while nothing else does.
 
         Raises:
             wire.Lost: The sink is gone.
@@ -84,7 +84,14 @@
         try:
             link = await self._links.get(selection.process)
             return await self._send_over(
-                link, request, selection, sink, insist, wait, start_by, alone
+                link,
+                request,
+                selection,
+                sink,
+                required_health,
+                wait,
+                start_by,
+                exclusive,
             )
         except errors.PeerUnreachable:
             return exchange.not_run(Reason.PEER_LOST, RETRY_AFTER)
@@ -95,33 +102,35 @@
         request: exchange.Request,
         selection: load_balancer.Selection,
         sink: exchange.Sink,
-        insist: admission.Insist,
+        required_health: admission.RequiredHealth,
         wait: bool,
         start_by: float,
-        alone: bool = False,
+        exclusive: bool = False,
     ) -> exchange.Result:
         remaining = request.deadline - self._clock.monotonic()
         if remaining <= 0:
             return exchange.not_run(Reason.DEADLINE)
         seq = self._next_seq()
-        start = _start(link, seq, selection.target, request, remaining, insist)
+        start = _start(
+            link, seq, selection.target, request, remaining, required_health
+        )
         now = self._clock.monotonic()
         start = msgspec.structs.replace(
             start,
-            aim=round(request.aim - now, 3),
+            objective_remaining=round(request.soft_deadline - now, 3),
             wait=wait,
             start_within=start_by - now,
-            alone=alone,
+            exclusive=exclusive,
         )
         to_boot = link.peer.boot
         try:
             async with asyncio.timeout(remaining + DEADLINE_GRACE):
-                if request.repeatable:
+                if request.idempotent:
                     return await link.ask(start, request, sink)
                 return await self._ask_once(link, start, request, sink)
         except TimeoutError:
             result = exchange.unknown(Reason.TIMEOUT)
-        if request.repeatable or sink.begun:
+        if request.idempotent or sink.begun:
             return result
         if await self._fence(selection.process, seq, to_boot):
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
@@ -208,7 +217,7 @@
     target: str,
     request: exchange.Request,
     remaining: float,
-    insist: admission.Insist,
+    required_health: admission.RequiredHealth,
 ) -> messages.RequestStart:
     small = len(request.body.first) < FOLLOWING_BYTES
     complete = request.body.complete and small
@@ -222,7 +231,7 @@
         headers=request.headers,
         request_id=request.id,
         remaining=round(remaining, 4),
-        repeatable=request.repeatable,
+        idempotent=request.idempotent,
         incarnation=link.incarnation,
         length=request.length,
         body=request.body.first if complete else b"",
@@ -230,7 +239,7 @@
         route=request.route,
         origin=request.origin,
         priority=request.priority,
-        insist=insist,
+        required_health=required_health,
         fingerprint=request.fingerprint,
         organisation=request.organisation,
     )
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -166,7 +166,7 @@
         self.counter(
             "forklift.invariants.broken",
             "Broken promises",
-            lambda: _by(invariants.broken_by_promise, "promise"),
+            lambda: _by(invariants.violations_by_invariant, "promise"),
         )
         self.counter(
             "forklift.expressions.failed",
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -124,7 +124,7 @@
             AnswerBroken: It was sent, and there is no whole answer.
             wire.Lost: The sink is gone.
         """
-        connection = await self._pool.take(self._request.repeatable)
+        connection = await self._pool.take(self._request.idempotent)
         whole = False
         try:
             reason = launch()
--- a/forklift/target_view.py
+++ b/forklift/target_view.py
@@ -36,7 +36,7 @@
         self.wants_work = False
         self._state = info.state
         self.version = 0
-        self._risk = health.UNKNOWN
+        self._risk = health.UNHEALTHY_PRIOR
         self._used_at = float("-inf")
         self._others = 0.0
         self._others_at = float("-inf")
@@ -52,7 +52,7 @@
             return
         self.version = load.version
         self._state = load.state
-        self._risk = load.risk
+        self._risk = load.unhealthy_probability
         self._used_at = max(self._used_at, now - load.idle)
         others = load.in_flight + load.queued - self.in_flight
         self._others = max(0, others)
@@ -64,14 +64,14 @@
         That it refused a request itself is forgotten soon: its guard says so
         only to those that send to it, which nobody would any more.
         """
-        fades = now - self._others_at >= health.SHED_FOR
+        fades = now - self._others_at >= health.SHEDDING_SECONDS
         if self._state is State.SHEDDING and fades:
             return State.IN_SERVICE
         return self._state
 
-    def risk(self, now: float) -> float:
+    def unhealthy_probability(self, now: float) -> float:
         """How likely it is in a bad phase, as far as is known here."""
-        return health.drift(self._risk, now - self._others_at)
+        return health.predict(self._risk, now - self._others_at)
 
     def idle_seconds(self, now: float) -> float:
         """Seconds since a request is known to have begun there."""
--- a/test/helper.py
+++ b/test/helper.py
@@ -12,7 +12,7 @@
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 WAIT = 30.0
 
-invariants.FATAL = True
+invariants.RAISE_ON_VIOLATION = True
 
 
 class Sink:
@@ -81,10 +81,10 @@
     return messages.TargetInfo(**fields)
 
 
-def takes(usual: latency.Latency, seconds: float) -> None:
+def takes(usual: latency.Distribution, seconds: float) -> None:
     """Teaches how long a kind of work takes."""
     for _ in range(100):
-        usual.note(seconds)
+        usual.record(seconds)
 
 
 async def until(check, timeout: float = WAIT) -> None:
@@ -102,11 +102,11 @@
 @contextlib.contextmanager
 def counting():
     """Lets promises break without raising, and yields the counter."""
-    invariants.FATAL = False
-    before = invariants.broken_by_promise.copy()
+    invariants.RAISE_ON_VIOLATION = False
+    before = invariants.violations_by_invariant.copy()
     try:
-        yield lambda: invariants.broken_by_promise - before
+        yield lambda: invariants.violations_by_invariant - before
     finally:
-        invariants.FATAL = True
-        invariants.broken_by_promise.clear()
-        invariants.broken_by_promise.update(before)
+        invariants.RAISE_ON_VIOLATION = True
+        invariants.violations_by_invariant.clear()
+        invariants.violations_by_invariant.update(before)
--- a/test/replay.py
+++ b/test/replay.py
@@ -16,7 +16,7 @@
 from forklift import retries
 from forklift.shell import ticking
 
-Sign = health.Sign
+Signal = health.Signal
 TICK = ticking.TICK
 # Seconds from one gate to the next.
 BETWEEN = 0.002
@@ -29,17 +29,17 @@
     Attributes:
         route: Its name.
         median: Seconds that it usually takes.
-        aim: Seconds within which an answer has its full worth.
+        objective: Seconds within which an answer has its full worth.
         timeout: Seconds after which it ends.
-        repeatable: Whether a second run does no harm.
+        idempotent: Whether a second run does no harm.
         priority: Rank; 0 is the most urgent.
     """
 
     route: str
     median: float
-    aim: float
+    objective: float
     timeout: float
-    repeatable: bool = False
+    idempotent: bool = False
     priority: int = 1
 
 
@@ -64,7 +64,7 @@
     @property
     def timely(self) -> bool:
         """Whether its answer had its full worth."""
-        return self.served and self.ended - self.came <= self.kind.aim
+        return self.served and self.ended - self.came <= self.kind.objective
 
 
 class Replay:
@@ -111,7 +111,7 @@
     def _ask(
         self, course: Course, retry_state: retries.RetryState, now: float
     ) -> None:
-        kind, aim = course.kind, course.came + course.kind.aim
+        kind, soft_deadline = course.kind, course.came + course.kind.objective
         left = [f for f in self.gates if f.name not in retry_state.refused]
         if not left:
             course.ended = now
@@ -119,20 +119,20 @@
                 self._later(now, lambda at: self._ask(course, retry_state, at))
             return
         found = self._rng.choice(left)
-        usual = found.latencies.of(kind.route, kind.aim)
+        usual = found.latencies.for_route(kind.route, kind.objective)
         ticket = admission.Ticket(
             (1, next(self._numbers)),
-            kind.repeatable,
+            kind.idempotent,
             kind.priority,
             retry_state.deadline,
-            retry_state.insist(now),
-            aim,
+            retry_state.required_health(now),
+            soft_deadline,
             kind.route,
             wait=retry_state.wait,
-            start_by=retry_state.start_by(usual, aim),
+            start_by=retry_state.start_by(usual, soft_deadline),
         )
         self._asked_by_id[ticket.id] = (course, retry_state, found)
-        self._decided([found.arrive(ticket, now)], now)
+        self._decided([found.admit(ticket, now)], now)
 
     def _decided(self, decisions: list[admission.Decision], now: float) -> None:
         for decision in decisions:
@@ -169,9 +169,9 @@
         retry_state.record_run(found.name)
         takes = course.kind.median * self._rng.lognormvariate(0.0, 0.5)
         hangs = self._bad(self.gates.index(found), now)
-        hangs = hangs and self._rng.random() < health.FAILS_WHEN_BAD
+        hangs = hangs and self._rng.random() < health.UNHEALTHY_FAILURE_RATE
         lost = hangs or now + takes > ticket.deadline
-        sign = None if lost else Sign.WELL
+        sign = None if lost else Signal.WELL
 
         def end(at: float) -> None:
             course.ended = at
--- a/test/test_fences.py
+++ b/test/test_fences.py
@@ -10,32 +10,32 @@
 
 def test_what_started_never_starts_again():
     known = fences.Fences()
-    assert known.start(ONE, 0.0)
+    assert known.try_start(ONE, 0.0)
     assert not known.may_start(ONE)
-    assert not known.start(ONE, 1.0)
+    assert not known.try_start(ONE, 1.0)
 
 
 def test_what_is_fenced_never_starts():
     known = fences.Fences()
     assert known.fence(ONE, 0.0)
-    assert not known.start(ONE, 1.0)
+    assert not known.try_start(ONE, 1.0)
     assert known.fence(ONE, 2.0)
 
 
 def test_what_started_is_never_told_not_run():
     known = fences.Fences()
-    known.start(ONE, 0.0)
+    known.try_start(ONE, 0.0)
     assert not known.fence(ONE, 1.0)
     with helper.counting() as broken:
-        assert not known.check_not_run(ONE)
+        assert not known.check_not_started(ONE)
         assert broken()["not-run"] == 1
 
 
-@pytest.mark.parametrize("first", ["start", "fence"])
+@pytest.mark.parametrize("first", ["try_start", "fence"])
 def test_marks_outlive_any_deadline_and_are_then_forgotten(first):
     known = fences.Fences()
     getattr(known, first)(ONE, 0.0)
-    known.start((1, 8), fences.REMEMBERED_FOR - 1)
+    known.try_start((1, 8), fences.RETENTION_SECONDS - 1)
     assert not known.may_start(ONE)
-    known.start((1, 9), fences.REMEMBERED_FOR + 1)
+    known.try_start((1, 9), fences.RETENTION_SECONDS + 1)
     assert len(known) == 2
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -10,7 +10,7 @@
 
 BOOK = replay.Kind("book", 0.45, 1.5, 5.0)
 REFUND = replay.Kind("refund", 0.35, 0.8, 2.5, priority=0)
-LOOKUP = replay.Kind("lookup", 0.1, 0.4, 1.5, repeatable=True)
+LOOKUP = replay.Kind("lookup", 0.1, 0.4, 1.5, idempotent=True)
 
 
 def never(number: int, now: float) -> bool:
@@ -48,7 +48,7 @@
 def test_a_burst_holds_nobody_for_long_whom_it_does_not_serve():
     refused = [one for one in burst() if not one.served]
     longest = max(one.ended - one.came for one in refused)
-    assert longest < BOOK.aim + 2 * replay.TICK
+    assert longest < BOOK.objective + 2 * replay.TICK
 
 
 def test_a_longer_bound_on_waiting_holds_more_for_nothing(monkeypatch):
@@ -95,7 +95,9 @@
     played = hanging(until=8.0, arrivals=14.0)
     played.run(14.0)
     for found in played.gates:
-        assert found.health.risk(14.0) < health.RAISED_FROM
+        assert (
+            found.health.unhealthy_probability(14.0) < health.EJECTION_THRESHOLD
+        )
 
 
 @pytest.mark.parametrize("kind", [BOOK, REFUND, LOOKUP])
--- a/test/test_load_balancer.py
+++ b/test/test_load_balancer.py
@@ -54,7 +54,7 @@
 
 def requirements(**changes) -> load_balancer.Requirements:
     return load_balancer.Requirements(
-        **{"service": "s", "repeatable": False, **changes}
+        **{"service": "s", "idempotent": False, **changes}
     )
 
 
@@ -75,10 +75,12 @@
     found.update_load("b", load(State.SUSPECT), 10.0)
     assert picks(found, requirements()) == set()
     # Not even where there is no other: most of its requests fail.
-    insisting = requirements(insist=admission.Insist.ANY)
+    insisting = requirements(required_health=admission.RequiredHealth.ANY)
     assert picks(found, insisting) == set()
-    repeatable = requirements(insist=admission.Insist.ANY, repeatable=True)
-    assert picks(found, repeatable) == {"a", "b"}
+    idempotent = requirements(
+        required_health=admission.RequiredHealth.ANY, idempotent=True
+    )
+    assert picks(found, idempotent) == {"a", "b"}
     found.update_load("a", load(State.SUSPECT, risk=0.4), 10.0)
     assert picks(found, insisting) == set()
 
@@ -99,10 +101,14 @@
 def test_a_doubted_target_draws_nothing_while_sound_ones_are_busy():
     found = made("a", "b")
     found.update_load("a", load(State.SUSPECT), 10.0)
-    asked = requirements(insist=admission.Insist.ANY, wait=True)
+    asked = requirements(
+        required_health=admission.RequiredHealth.ANY, wait=True
+    )
     busy = frozenset({"b"})
     assert found.select(asked, frozenset(), 10.0, busy) is None
-    last = requirements(insist=admission.Insist.ANY, wait=True, repeatable=True)
+    last = requirements(
+        required_health=admission.RequiredHealth.ANY, wait=True, idempotent=True
+    )
     assert found.select(last, busy, 10.0).target == "a"
 
 
@@ -110,7 +116,7 @@
     found = made("a", "b")
     found.update_load("a", load(State.SUSPECT, risk=0.4), 10.0)
     asked = requirements(
-        insist=admission.Insist.ANY, wait=True, repeatable=True
+        required_health=admission.RequiredHealth.ANY, wait=True, idempotent=True
     )
     busy = frozenset({"b"})
     asked = dataclasses.replace(asked, scout=False)
@@ -127,7 +133,7 @@
     for step in range(200):
         now = 10.0 + step * 0.01
         selection = found.select(
-            requirements(repeatable=True), frozenset(), now
+            requirements(idempotent=True), frozenset(), now
         )
         tests += selection.target == "a"
         found.finish_attempt("s", selection, None, now)
@@ -145,28 +151,30 @@
             if troubled:
                 found.record_failure("s", now)
             # What its gate tells this entry ten times a second.
-            idle = load(idle=now - used_at, risk=health.UNKNOWN)
+            idle = load(idle=now - used_at, risk=health.UNHEALTHY_PRIOR)
             found.update_load("c", idle, now)
             for other in ("a", "b"):
                 found.update_load(other, load(), now)
             selection = found.select(asked, frozenset(), now)
             found.finish_attempt("s", selection, None, now)
             if selection.target == "c":
-                proven = selection.insist is admission.Insist.PROVEN
-                assert asked.repeatable or not proven
+                proven = (
+                    selection.required_health is admission.RequiredHealth.PROVEN
+                )
+                assert asked.idempotent or not proven
                 longest = max(longest, now - used_at)
                 used_at = now
         return max(longest, now - used_at)
 
     for troubled in (False, True):
-        assert longest_pause(requirements(repeatable=True), troubled) < 1.0
+        assert longest_pause(requirements(idempotent=True), troubled) < 1.0
     assert longest_pause(requirements(), troubled=True) < 1.6
 
 
 def test_work_that_must_not_repeat_is_no_test_while_all_goes_well():
     found = made("a", "b", process="p-b")
     found.update_load("a", load(), 10.0)
-    found.update_load("b", load(idle=5.0, risk=health.UNKNOWN), 10.0)
+    found.update_load("b", load(idle=5.0, risk=health.UNHEALTHY_PRIOR), 10.0)
     for step in range(20):
         found.record_request("s", 8.0 + step * 0.1)
     assert picks(found, requirements()) == {"a"}
@@ -191,7 +199,7 @@
         now += rng.expovariate(1.0)
         count += 1
         found.record_request("s", now)
-        idle = load(idle=now - used[-1], risk=health.UNKNOWN)
+        idle = load(idle=now - used[-1], risk=health.UNHEALTHY_PRIOR)
         found.update_load("c", idle, now)
         for other in ("a", "b"):
             found.update_load(other, load(), now)
@@ -220,9 +228,9 @@
     found = made("a", "b", "c")
     for name in ("a", "b"):
         found.update_load(name, load(risk=0.03), 10.0)
-    asked = load(idle=1.3, risk=health.UNKNOWN)
+    asked = load(idle=1.3, risk=health.UNHEALTHY_PRIOR)
     found.update_load("c", asked, 10.0)
-    may_repeat = requirements(repeatable=True)
+    may_repeat = requirements(idempotent=True)
     assert "c" not in picks(found, may_repeat)
     found.record_work_request("c", asked, 10.0)
     assert "c" not in picks(found, requirements())
@@ -237,7 +245,7 @@
     full = load(running=4, idle=1.3)
     found.record_work_request("c", full, 10.0)
     found.record_work_request("nobody", full, 10.0)
-    assert picks(found, requirements(repeatable=True)) == {"a"}
+    assert picks(found, requirements(idempotent=True)) == {"a"}
 
 
 def test_an_entry_that_sees_few_requests_keeps_its_target_in_use():
@@ -259,11 +267,16 @@
     """At a start nothing is known of the others either."""
     found = made("a", "b", process="p-b")
     found.update_load(
-        "b", load(idle=admission.NEVER, risk=health.UNKNOWN), 10.0
+        "b",
+        load(idle=admission.MAX_IDLE_SECONDS, risk=health.UNHEALTHY_PRIOR),
+        10.0,
     )
     found.update_load("a", load(), 10.0)
     selection = found.select(requirements(), frozenset(), 10.0)
-    assert (selection.target, selection.insist) == ("b", admission.Insist.SOUND)
+    assert (selection.target, selection.required_health) == (
+        "b",
+        admission.RequiredHealth.SOUND,
+    )
 
 
 def test_a_repeat_also_charges_the_services_that_its_run_may_call():
@@ -283,24 +296,28 @@
     found.least_aim_by_service = {"called": 0.4, "caller": 1.5}
     found.record_request("caller", 0.0)
     assert (
-        sum(found.spend_retry("called", 1.0, aim=0.4) for _ in range(30)) == 18
+        sum(found.spend_retry("called", 1.0, objective=0.4) for _ in range(30))
+        == 18
     )
     assert (
-        sum(found.spend_retry("caller", 1.0, aim=1.5) for _ in range(30)) == 18
+        sum(found.spend_retry("caller", 1.0, objective=1.5) for _ in range(30))
+        == 18
     )
     # The other way round the calls count.
     later = 20.0
     assert (
-        sum(found.spend_retry("caller", later, aim=1.5) for _ in range(30))
+        sum(
+            found.spend_retry("caller", later, objective=1.5) for _ in range(30)
+        )
         == 18
     )
-    assert not found.spend_retry("called", later + 1, aim=0.4)
+    assert not found.spend_retry("called", later + 1, objective=0.4)
 
 
 def test_a_repeat_tests_nobody():
     found = made("a", "b")
     found.update_load("a", load(State.SUSPECT), 10.0)
-    assert picks(found, requirements(repeatable=True, scout=False)) == {"b"}
+    assert picks(found, requirements(idempotent=True, scout=False)) == {"b"}
 
 
 def test_shedding_targets_come_after_sound_ones_but_are_used():
@@ -316,7 +333,7 @@
     found = made("a", "b")
     found.update_load("a", load(State.SHEDDING), 10.0)
     assert picks(found, requirements()) == {"b"}
-    later = 10.0 + health.SHED_FOR
+    later = 10.0 + health.SHEDDING_SECONDS
     found.update_load("b", load(running=3), later)
     assert picks(found, requirements(), now=later) == {"a"}
 
@@ -336,7 +353,7 @@
     assert picks(found, requirements(kilobytes=0.5)) == {"b"}
     assert picks(found, requirements(kilobytes=12.0)) == {"a"}
     # One more try is cheaper than to carry it far.
-    again = requirements(kilobytes=3.0, repeatable=True, scout=False)
+    again = requirements(kilobytes=3.0, idempotent=True, scout=False)
     assert picks(found, again) == {"a"}
 
 
@@ -371,5 +388,5 @@
     assert picks(found, requirements()) == {"b"}
     assert found.reachability.record_reply("p-a")
     assert "a" in picks(found, requirements(), 200) | picks(
-        found, requirements(repeatable=True), 200
+        found, requirements(idempotent=True), 200
     )
--- a/test/test_log_trace.py
+++ b/test/test_log_trace.py
@@ -70,7 +70,7 @@
         for number, one in enumerate(fleet.proxies):
             found = one.beside.site_by_target[f"t{number}"].controller
             found.slots = 1
-            helper.takes(found.latencies.of("r", 1.0), 100.0)
+            helper.takes(found.latencies.for_route("r", 1.0), 100.0)
         for target in fleet.targets:
             target.script.append("hold")
         held = [asyncio.create_task(fleet.ask()) for _ in fleet.targets]
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -42,7 +42,7 @@
     route = found.routes.find("h.example:80", "/a/b?c")
     assert found.version == 7
     assert route.name == "r"
-    assert not route.repeatable
+    assert not route.idempotent
     assert (route.timeout, route.aim, route.attempts) == (2.5, 0.8, 2)
     assert [share.service for share in route.shares] == ["s"]
     assert found.services_by_name["s"].connections == 330
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -154,23 +154,23 @@
 
 def test_what_a_target_still_runs_for_nobody_may_have_crashed_it():
     given = crash_candidates.CrashCandidates()
-    given.begin(1, DEADLY, 0.0)
-    given.begin(2, INNOCENT, 0.0)
-    given.begin(3, OTHER, 0.0)
-    given.ended(1, 0.1)
-    given.survived(2)
-    assert given.crash(1.0) == {DEADLY, OTHER}
-    assert given.crash(1.0) == set()
+    given.add(1, DEADLY, 0.0)
+    given.add(2, INNOCENT, 0.0)
+    given.add(3, OTHER, 0.0)
+    given.mark_ended(1, 0.1)
+    given.discard(2)
+    assert given.take_fingerprints(1.0) == {DEADLY, OTHER}
+    assert given.take_fingerprints(1.0) == set()
 
 
 def test_what_ended_long_before_a_crash_is_not_accused():
     given = crash_candidates.CrashCandidates()
-    given.begin(1, INNOCENT, 0.0)
-    given.ended(1, 0.1)
+    given.add(1, INNOCENT, 0.0)
+    given.mark_ended(1, 0.1)
     for number in range(1000):
-        given.begin(2 + number, OTHER, 1.0)
-        given.ended(2 + number, 1.0)
-    assert given.crash(20.0) == set()
+        given.add(2 + number, OTHER, 1.0)
+        given.mark_ended(2 + number, 1.0)
+    assert given.take_fingerprints(20.0) == set()
 
 
 def of(**changes) -> bytes:
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -131,7 +131,7 @@
             note(one.beside, seen)
         fleet.targets[0].crashes_on = b"/a/ "
         assert (await fleet.ask(0)).status == 200
-        assert [ticket.alone for ticket in seen] == [False, True]
+        assert [ticket.exclusive for ticket in seen] == [False, True]
 
     processes.play(work, [[], []])
 
@@ -417,13 +417,13 @@
         entry.announced.left(announcement.Life("t0"))
         suspect(other)
         gate_of = other.beside.site_by_target["t1"].controller
-        arrive, seen = gate_of.arrive, []
+        arrive, seen = gate_of.admit, []
 
         def noted(ticket, now):
-            seen.append(ticket.alone)
+            seen.append(ticket.exclusive)
             return arrive(ticket, now)
 
-        gate_of.arrive = noted
+        gate_of.admit = noted
         assert (await fleet.ask(0, "/a/deadly")).status == 200
         assert seen == [True]
 
--- a/test/test_retries.py
+++ b/test/test_retries.py
@@ -23,7 +23,7 @@
     for number in range(retries.MAX_REFUSALS - 1):
         found.record_not_run(f"idle-{number}", Reason.UNPROVEN)
     assert found.refused == {"busy"}
-    assert found.insist(0.0) is admission.Insist.SOUND
+    assert found.required_health(0.0) is admission.RequiredHealth.SOUND
     assert not found.wait
     for number in range(retries.MAX_REFUSALS):
         found.record_not_run(f"idle-{number}", Reason.BUSY)
@@ -33,9 +33,10 @@
 
 def test_doubt_is_accepted_late():
     found = made()
-    assert found.insist(0.0) is admission.Insist.PROVEN
+    assert found.required_health(0.0) is admission.RequiredHealth.PROVEN
     assert (
-        found.insist(10.0 * retries.RELAX_AFTER_SHARE) is admission.Insist.ANY
+        found.required_health(10.0 * retries.RELAX_AFTER_SHARE)
+        is admission.RequiredHealth.ANY
     )
 
 
@@ -56,7 +57,7 @@
 
 def test_only_what_ran_nowhere_must_start_soon():
     found = made()
-    usual = latency.Latency(0.5)
+    usual = latency.Distribution(0.5)
     assert (
         found.start_by(usual, math.inf) == 10.0 * retries.START_DEADLINE_SHARE
     )
@@ -67,7 +68,7 @@
 def test_what_can_not_be_in_time_any_more_waits_for_no_slot():
     """Overload: a slot for a late one makes the next one late, too."""
     found = made()
-    usual = latency.Latency(0.5)
+    usual = latency.Distribution(0.5)
     helper.takes(usual, 0.5)
     assert found.start_by(usual, aim=1.5) == pytest.approx(1.0)
     assert found.start_by(usual, aim=0.1) == retries.MIN_QUEUE_TIME
@@ -95,7 +96,7 @@
 
 def test_a_repeat_needs_time_for_an_answer_and_a_first_attempt_none():
     found = made()
-    usual = latency.Latency(2.0)
+    usual = latency.Distribution(2.0)
     assert not found.should_give_up(usual, math.inf, now=9.5)
     found.record_run("t")
     assert found.should_give_up(usual, math.inf, now=9.5)
@@ -105,7 +106,7 @@
 def test_where_no_target_may_be_sent_to_it_is_given_up_with_its_full_worth():
     """All are doubted or gone: held on, it would mostly end unserved."""
     found = made()
-    usual = latency.Latency(0.5)
+    usual = latency.Distribution(0.5)
     helper.takes(usual, 0.5)
     assert not found.should_give_up(usual, aim=1.5, now=1.2)
     found.next_poll_delay()
@@ -115,7 +116,7 @@
 
 def test_a_second_attempt_waits_less_where_an_answer_can_still_be_in_time():
     found = made()
-    usual = latency.Latency(0.1, spread=0.5)
+    usual = latency.Distribution(0.1, spread=0.5)
     late = usual.quantile(retries.HEDGE_DEVIATIONS)
     least = usual.quantile(retries.MIN_HEDGE_DEVIATIONS)
     assert found.hedge_delay(usual, aim=5.0, now=0.0) == late
@@ -127,8 +128,8 @@
 def test_work_that_scatters_is_waited_for_longer_than_work_that_does_not():
     """A second send of what is merely long costs the budget for nothing."""
     found = made()
-    even = latency.Latency(0.1, spread=0.3)
-    uneven = latency.Latency(0.1, spread=0.8)
+    even = latency.Distribution(0.1, spread=0.3)
+    uneven = latency.Distribution(0.1, spread=0.8)
     waits = [found.hedge_delay(usual, 5.0, 0.0) for usual in (even, uneven)]
     assert waits[0] < 0.2 < waits[1]
 
--- a/test/test_retry_budget.py
+++ b/test/test_retry_budget.py
@@ -20,7 +20,7 @@
     while now < 60.0:
         now += rng.expovariate(100.0)
         part = rng.choice(parts)
-        part.request(now)
+        part.record_request(now)
         requests.append(now)
         if rng.random() < 0.7 and part.spend(now, processes):
             repeats.append(now)
@@ -57,15 +57,15 @@
 def test_other_bounds_hold_for_what_was_counted():
     part = retry_budget.RetryBudget(0.0, WINDOW, 2.0)
     assert part.spend(0.0, 1)
-    part.bound(0.0, WINDOW, 4.0)
+    part.set_limits(0.0, WINDOW, 4.0)
     granted = sum(part.spend(1.0, 1) for _ in range(10))
-    assert granted == int(4.0 * retry_budget.USED_SHARE) - 1
+    assert granted == int(4.0 * retry_budget.USABLE_SHARE) - 1
 
 
 def test_a_kind_of_repeat_may_be_held_to_a_part_of_the_budget():
     found = retry_budget.RetryBudget(1.0, 10.0, 0.0)
     for _ in range(20):
-        found.request(0.0)
+        found.record_request(0.0)
     part = sum(found.spend(1.0, 1, share=0.5) for _ in range(20))
     rest = sum(found.spend(1.0, 1) for _ in range(20))
     assert (part, part + rest) == (9, 18)
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -68,15 +68,15 @@
         now = one.clock.monotonic()
         for number in range(4):
             before.controller.health.begin(
-                number, before.controller.latencies.of("r", 1.0), now
+                number, before.controller.latencies.for_route("r", 1.0), now
             )
             before.controller.health.end(
-                number, announced.admission.Sign.BROKEN, now
+                number, announced.admission.Signal.BROKEN, now
             )
-        assert before.controller.health.raised
+        assert before.controller.health.ejected
         announce(fleet, NEW, cold=30.0)
         after = one.beside.site_by_target[NEW.name].controller
-        assert not after.health.raised
+        assert not after.health.ejected
         assert (after.running, after.waiting) == (0, 0)
         assert after.cold_until > one.clock.monotonic()
         assert OLD.name not in one.beside.site_by_target
@@ -230,10 +230,12 @@
 def test_a_late_refusal_of_the_life_before_says_nothing_of_the_one_after():
     entry = _balancer()
     entry.update_process(info(1, OLD.name))
-    requirements = load_balancer.Requirements("s", repeatable=True)
+    requirements = load_balancer.Requirements("s", idempotent=True)
     selection = entry.select(requirements, frozenset(), 0.0)
     entry.update_process(info(2, NEW.name))
-    late = messages.Load(4, 9, 4, State.SUSPECT, 90, 0.0, risk=0.9)
+    late = messages.Load(
+        4, 9, 4, State.SUSPECT, 90, 0.0, unhealthy_probability=0.9
+    )
     entry.finish_attempt("s", selection, late, 1.0)
     entry.update_load(OLD.name, late, 1.0)
     (view,) = entry.views("s")
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -54,7 +54,7 @@
         "length": 4,
         "body": exchange.Body(b"body"),
         "deadline": NOW() + 20.0,
-        "repeatable": True,
+        "idempotent": True,
         "origin": "beside",
     }
     fields.update(changes)
@@ -155,9 +155,9 @@
     assert fields[dialect.OWN.signature] == b"signed"
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
-def test_connections_are_kept(repeatable):
-    target, pool, _, _ = play(requests=3, repeatable=repeatable)
+@pytest.mark.parametrize("idempotent", [True, False])
+def test_connections_are_kept(idempotent):
+    target, pool, _, _ = play(requests=3, idempotent=idempotent)
     assert target.connections == 1
     assert pool.reused == 2
 
