--- a/forklift/announcement.py
+++ b/forklift/announcement.py
@@ -1,74 +1,79 @@
-"""What a target says of itself, and which of its words are late.
+"""Heartbeats of local targets, and which of them are stale.
 
-A target may start again under the name that it had. Its two runs are two lives:
-what is known of one says nothing of the other. Everything that remembers
-something of a target is keyed by the name of its life.
+A target may restart under the name that it had before. Each run is a separate
+incarnation, and state that is kept about one does not apply to the next. All
+such state is therefore keyed by the name of the incarnation.
 """
 
 import dataclasses
 import enum
 
-# Lives that are remembered, the last ones: far more than start beside one
-# process while a late word may come.
-KEPT = 1024
+# Number of recent incarnations to remember. Far fewer than that start on an
+# instance during the time that a heartbeat can be delayed.
+MAX_REMEMBERED = 1024
 _SEPARATOR = "@"
 
 
 @dataclasses.dataclass(frozen=True)
-class Life:
+class TargetIncarnation:
     """One run of a target, from its start to its end.
 
     Attributes:
         target: The name that the target gives itself.
-        born: Unix milliseconds of its start; 0 where it tells none, and then
-            its name is not used again after its end.
+        started_ms: Start time in Unix milliseconds. It is 0 if the target does
+            not report it; such a target does not reuse its name.
     """
 
     target: str
-    born: int = 0
+    started_ms: int = 0
 
     @property
     def name(self) -> str:
-        """What is remembered of the life is keyed by this.
+        """Unique name, used as the key of all state of the incarnation.
 
-        >>> Life("i-7", 1764720000123).name, Life("i-7").name
-        ('i-7@1764720000123', 'i-7')
+        >>> TargetIncarnation("i-7", 1764720000123).name
+        'i-7@1764720000123'
+        >>> TargetIncarnation("i-7").name
+        'i-7'
         """
-        if not self.born:
+        if not self.started_ms:
             return self.target
-        return f"{self.target}{_SEPARATOR}{self.born}"
+        return f"{self.target}{_SEPARATOR}{self.started_ms}"
 
 
-def life_named(name: str) -> Life:
-    """The life of a name.
+def parse_incarnation(name: str) -> TargetIncarnation:
+    """Parses the name of an incarnation.
 
-    >>> life_named("i-7@1764720000123")
-    Life(target='i-7', born=1764720000123)
-    >>> life_named("i-7"), life_named("i@7x")
-    (Life(target='i-7', born=0), Life(target='i@7x', born=0))
+    >>> parse_incarnation("i-7@1764720000123")
+    TargetIncarnation(target='i-7', started_ms=1764720000123)
+    >>> parse_incarnation("i-7")
+    TargetIncarnation(target='i-7', started_ms=0)
+    >>> parse_incarnation("i@7x")
+    TargetIncarnation(target='i@7x', started_ms=0)
     """
-    target, separator, born = name.rpartition(_SEPARATOR)
-    if separator and target and born.isdecimal() and born.isascii():
-        return Life(target, int(born))
-    return Life(name)
+    target, separator, started_ms = name.rpartition(_SEPARATOR)
+    if separator and target and started_ms.isdecimal() and started_ms.isascii():
+        return TargetIncarnation(target, int(started_ms))
+    return TargetIncarnation(name)
 
 
 @dataclasses.dataclass(frozen=True)
-class Announcement:
+class Heartbeat:
     """One heartbeat of a target.
 
     Attributes:
-        life: The run of the target that speaks.
-        service: Its service.
-        address: Where it is reached, "ip:port".
-        domain: Its failure domain.
-        slots: Requests it runs at once.
-        leaving: Whether it takes no new requests.
-        sequence: Rises with each one of a life, so that a late one shows.
-        cold: Seconds that it stays slow after its start.
+        incarnation: The incarnation that sent it.
+        service: Name of the service.
+        address: Address of the target, "ip:port".
+        domain: Failure domain.
+        slots: Maximum number of concurrent requests.
+        leaving: Whether the target accepts no new requests.
+        sequence: Rises with each heartbeat of an incarnation, so that reordered
+            ones are recognized.
+        cold: Seconds after its start during which the target is slow.
     """
 
-    life: Life
+    incarnation: TargetIncarnation
     service: str
     address: str
     domain: str
@@ -78,175 +83,214 @@
     cold: float = 0.0
 
 
-class Word(enum.Enum):
-    """What a heartbeat is, against what was heard before."""
+class HeartbeatKind(enum.Enum):
+    """How a heartbeat relates to those received before."""
 
-    # Of a life that takes the place of any earlier one of its target.
+    # The first one of an incarnation, which replaces any earlier one.
     FIRST = "first"
-    # A newer one of the life that is known.
+    # A newer one of the current incarnation.
     FURTHER = "further"
-    # Of a life that is over, or older than what is known.
+    # From an incarnation that has ended, or older than the last one.
     LATE = "late"
 
 
 @dataclasses.dataclass
-class _Known:
-    """The life of a target that counts.
+class _Current:
+    """The current incarnation of a target.
 
     Attributes:
-        life: The life.
-        first: Monotonic seconds when it was first heard of.
-        last: Monotonic seconds when it was heard last.
-        sequence: Number of its last heartbeat.
-        unnamed: Whether only its health endpoint or its end told of it, which
-            don't say when it was born.
-        over: Whether it said that it leaves.
+        incarnation: The incarnation.
+        first: Monotonic seconds when it was first seen.
+        last: Monotonic seconds when it was last seen.
+        sequence: Sequence number of its last heartbeat.
+        start_unknown: Whether it is known only from a health check or a leave
+            message, neither of which tells the start time.
+        has_left: Whether it has announced that it leaves.
     """
 
-    life: Life
+    incarnation: TargetIncarnation
     first: float
     last: float
     sequence: int = -1
-    unnamed: bool = False
-    over: bool = False
+    start_unknown: bool = False
+    has_left: bool = False
 
 
-class Lives:
-    """Which life of each target beside this process counts.
+class IncarnationTracker:
+    """Tracks the current incarnation of each local target.
 
-    A life that was born later ends an earlier one. Of one that seems to be born
-    earlier nothing is taken while the known one speaks, or while a word of an
-    earlier life may still be on its way. After that the clock of the target was
-    set back between the two, or the known one was never there. A life that said
-    that it leaves never counts again.
+    An incarnation with a later start time replaces the current one. One with an
+    earlier start time is ignored while the current one sends heartbeats, and
+    while a delayed heartbeat of an earlier incarnation can still arrive. After
+    that it is accepted: the clock of the target was set back, or the current
+    incarnation never existed. An incarnation that announced that it leaves is
+    never accepted again.
     """
 
-    def __init__(self, late: float):
-        """Makes an empty one.
+    def __init__(self, max_delay: float):
+        """Creates a tracker that knows no target.
 
         Args:
-            late: Seconds after which no late heartbeat is on its way any more,
-                and a life that still speaks would have been heard.
+            max_delay: Longest delay of a heartbeat in seconds. A running
+                incarnation sends at least one heartbeat within this time.
         """
-        self.late = late
-        self._known_by_target: dict[str, _Known] = {}
-        self._over: dict[Life, None] = {}
-
-    def name(self, target: str) -> str | None:
-        """Name of the life of a target that counts; None where none is known.
-
-        >>> lives = Lives(5.0)
-        >>> lives.found("i-7", 0.0), lives.name("i-7")
-        (True, 'i-7')
-        >>> lives.heard(Life("i-7", 90), 1, 1.0), lives.name("i-7")
-        (<Word.FURTHER: 'further'>, 'i-7@90')
+        self.max_delay = max_delay
+        self._current_by_target: dict[str, _Current] = {}
+        self._ended: dict[TargetIncarnation, None] = {}
+
+    def current_name(self, target: str) -> str | None:
+        """Returns the current incarnation's name; None if there is none.
+
+        >>> tracker = IncarnationTracker(5.0)
+        >>> tracker.record_health_check("i-7", 0.0)
+        True
+        >>> tracker.current_name("i-7")
+        'i-7'
+        >>> tracker.record_heartbeat(TargetIncarnation("i-7", 90), 1, 1.0)
+        <HeartbeatKind.FURTHER: 'further'>
+        >>> tracker.current_name("i-7")
+        'i-7@90'
         """
-        known = self._known_by_target.get(target)
-        return known.life.name if known is not None else None
+        current = self._current_by_target.get(target)
+        return current.incarnation.name if current is not None else None
 
-    def heard(self, life: Life, sequence: int, now: float) -> Word:
-        """A heartbeat came.
+    def record_heartbeat(
+        self, incarnation: TargetIncarnation, sequence: int, now: float
+    ) -> HeartbeatKind:
+        """Records a heartbeat.
 
         Args:
-            life: The life that sent it.
-            sequence: Its number.
+            incarnation: The incarnation that sent it.
+            sequence: Its sequence number.
             now: Monotonic seconds.
+
+        Returns:
+            How it relates to earlier heartbeats.
         """
-        known = self._known_by_target.get(life.target)
-        if life in self._over:
-            return Word.LATE
-        if known is None:
-            return self._begin(life, sequence, now)
-        if known.unnamed and known.over:
-            # It may be the one that said so, and speaks until its end.
-            silent = now - known.last > self.late
-            known.last = now
-            return self._begin(life, sequence, now) if silent else Word.LATE
-        if known.unnamed:
-            known.life, known.unnamed = life, False
-        if life == known.life:
-            if sequence <= known.sequence:
-                return Word.LATE
-            known.sequence, known.last = sequence, now
-            return Word.FURTHER
-        if life.born > known.life.born or self._silent(known, now):
-            return self._begin(life, sequence, now)
-        return Word.LATE
-
-    def found(self, target: str, now: float) -> bool:
-        """The health endpoint of a target answered; True where that is news.
-
-        It does not tell which life it is of, so it says nothing of a target of
-        which any life was heard or has left.
+        current = self._current_by_target.get(incarnation.target)
+        if incarnation in self._ended:
+            return HeartbeatKind.LATE
+        if current is None:
+            return self._begin(incarnation, sequence, now)
+        if current.start_unknown and current.has_left:
+            # This may be the incarnation that announced its end; it keeps
+            # sending heartbeats until then.
+            silent = now - current.last > self.max_delay
+            current.last = now
+            return (
+                self._begin(incarnation, sequence, now)
+                if silent
+                else HeartbeatKind.LATE
+            )
+        if current.start_unknown:
+            current.incarnation, current.start_unknown = incarnation, False
+        if incarnation == current.incarnation:
+            if sequence <= current.sequence:
+                return HeartbeatKind.LATE
+            current.sequence, current.last = sequence, now
+            return HeartbeatKind.FURTHER
+        if (
+            incarnation.started_ms > current.incarnation.started_ms
+            or self._silent(current, now)
+        ):
+            return self._begin(incarnation, sequence, now)
+        return HeartbeatKind.LATE
+
+    def record_health_check(self, target: str, now: float) -> bool:
+        """Records that the health endpoint of a target answered.
+
+        The response does not tell the incarnation, so it is ignored if any
+        incarnation of the target is known or has left.
+
+        Returns:
+            Whether the target was unknown.
         """
-        if target in self._known_by_target:
+        if target in self._current_by_target:
             return False
-        if any(life.target == target for life in self._over):
+        if any(incarnation.target == target for incarnation in self._ended):
             return False
-        self._keep(_Known(Life(target), now, now, unnamed=True))
+        self._keep(
+            _Current(TargetIncarnation(target), now, now, start_unknown=True)
+        )
         return True
 
-    def left(self, life: Life, now: float) -> str | None:
-        """A target says that it is about to end.
+    def record_leave(
+        self, incarnation: TargetIncarnation, now: float
+    ) -> str | None:
+        """Records that a target announced that it leaves.
 
         Args:
-            life: The life; without the time of its birth it is the known one.
+            incarnation: The incarnation; without a start time it means the
+                current one.
             now: Monotonic seconds.
 
         Returns:
-            Name of the life that is over; None where it does not count.
+            Name of the incarnation that ended, or None if it is not current.
         """
-        known = self._known_by_target.get(life.target)
-        if known is None and not life.born:
-            known = self._keep(_Known(life, now, now, unnamed=True))
-        if known is not None and not life.born:
-            return self._end(known, now)
-        return self.recalled(life, now)
-
-    def recalled(self, life: Life, now: float) -> str | None:
-        """Another process remembers that a life was about to end.
+        current = self._current_by_target.get(incarnation.target)
+        if current is None and not incarnation.started_ms:
+            current = self._keep(
+                _Current(incarnation, now, now, start_unknown=True)
+            )
+        if current is not None and not incarnation.started_ms:
+            return self._end(current, now)
+        return self.record_remembered_leave(incarnation, now)
+
+    def record_remembered_leave(
+        self, incarnation: TargetIncarnation, now: float
+    ) -> str | None:
+        """Records that a peer remembers an incarnation as leaving.
 
         Args:
-            life: The life.
+            incarnation: The incarnation.
             now: Monotonic seconds.
 
         Returns:
-            Name of the life that is over; None where it does not count.
+            Name of the incarnation that ended, or None if it is not current.
         """
-        self._note_over(life)
-        known = self._known_by_target.get(life.target)
-        if known is not None and known.unnamed:
-            # It may be that one; a later life will tell its birth.
-            name = known.life.name
-            known.life, known.unnamed = life, not life.born
-            self._end(known, now)
+        self._record_end(incarnation)
+        current = self._current_by_target.get(incarnation.target)
+        if current is not None and current.start_unknown:
+            # The current one may be that incarnation. If not, its heartbeat
+            # will have a later start time.
+            name = current.incarnation.name
+            current.incarnation, current.start_unknown = (
+                incarnation,
+                not incarnation.started_ms,
+            )
+            self._end(current, now)
             return name
-        if known is not None and known.life == life:
-            return self._end(known, now)
+        if current is not None and current.incarnation == incarnation:
+            return self._end(current, now)
         return None
 
-    def _end(self, known: _Known, now: float) -> str:
-        known.over, known.last = True, now
-        self._note_over(known.life)
-        return known.life.name
-
-    def _begin(self, life: Life, sequence: int, now: float) -> Word:
-        self._keep(_Known(life, now, now, sequence))
-        return Word.FIRST
-
-    def _silent(self, known: _Known, now: float) -> bool:
-        """Whether nothing late is on its way, and the known one is silent."""
-        return now - known.last > self.late and now - known.first > self.late
-
-    def _note_over(self, life: Life) -> None:
-        self._over.pop(life, None)
-        self._over[life] = None
-        while len(self._over) > KEPT:
-            del self._over[next(iter(self._over))]
-
-    def _keep(self, known: _Known) -> _Known:
-        self._known_by_target.pop(known.life.target, None)
-        self._known_by_target[known.life.target] = known
-        while len(self._known_by_target) > KEPT:
-            del self._known_by_target[next(iter(self._known_by_target))]
-        return known
+    def _end(self, current: _Current, now: float) -> str:
+        current.has_left, current.last = True, now
+        self._record_end(current.incarnation)
+        return current.incarnation.name
+
+    def _begin(
+        self, incarnation: TargetIncarnation, sequence: int, now: float
+    ) -> HeartbeatKind:
+        self._keep(_Current(incarnation, now, now, sequence))
+        return HeartbeatKind.FIRST
+
+    def _silent(self, current: _Current, now: float) -> bool:
+        """Whether the current one is silent and no delayed heartbeat is due."""
+        return (
+            now - current.last > self.max_delay
+            and now - current.first > self.max_delay
+        )
+
+    def _record_end(self, incarnation: TargetIncarnation) -> None:
+        self._ended.pop(incarnation, None)
+        self._ended[incarnation] = None
+        while len(self._ended) > MAX_REMEMBERED:
+            del self._ended[next(iter(self._ended))]
+
+    def _keep(self, current: _Current) -> _Current:
+        self._current_by_target.pop(current.incarnation.target, None)
+        self._current_by_target[current.incarnation.target] = current
+        while len(self._current_by_target) > MAX_REMEMBERED:
+            del self._current_by_target[next(iter(self._current_by_target))]
+        return current
--- a/forklift/platform/endpoints.py
+++ b/forklift/platform/endpoints.py
@@ -99,8 +99,8 @@
         ready: Whether callers should be sent here.
     """
 
-    seen: Callable[[announcement.Announcement], None]
-    left: Callable[[announcement.Life], None]
+    seen: Callable[[announcement.Heartbeat], None]
+    left: Callable[[announcement.TargetIncarnation], None]
     ready: Callable[[], bool]
 
     async def heartbeat(self, request: server.Request) -> server.Response:
@@ -129,7 +129,7 @@
         return server.Response(200 if self.ready() else 503, b"{}")
 
 
-def decode_heartbeat(target: str, body: bytes) -> announcement.Announcement:
+def decode_heartbeat(target: str, body: bytes) -> announcement.Heartbeat:
     """Decodes a heartbeat of a target.
 
     Args:
@@ -144,8 +144,8 @@
         address = ini.endpoint(said.address)
     except ValueError as error:
         raise InvalidCall(f"address: {error}") from error
-    return announcement.Announcement(
-        life=announcement.Life(target, said.born or 0),
+    return announcement.Heartbeat(
+        incarnation=announcement.TargetIncarnation(target, said.born or 0),
         service=said.info.service,
         address=address,
         domain=said.info.zone,
@@ -156,14 +156,16 @@
     )
 
 
-def decode_deregistration(target: str, body: bytes) -> announcement.Life:
+def decode_deregistration(
+    target: str, body: bytes
+) -> announcement.TargetIncarnation:
     """Decodes the last call of a target, which may have no body.
 
     Raises:
         InvalidCall: No target said this.
     """
     said = _decode(_leaves, target, body or b"{}")
-    return announcement.Life(target, said.born or 0)
+    return announcement.TargetIncarnation(target, said.born or 0)
 
 
 def _decode(decoder: msgspec.json.Decoder, target: str, body: bytes):
--- a/forklift/shell/announced.py
+++ b/forklift/shell/announced.py
@@ -50,7 +50,9 @@
         self._clock = clock
         self._on_change = on_change
         self._heard_by_target: dict[str, float] = {}
-        self._lives = announcement.Lives(self._period + HEARTBEAT_LATE)
+        self._incarnations = announcement.IncarnationTracker(
+            self._period + HEARTBEAT_LATE
+        )
         self.stopping = False
 
     @property
@@ -58,22 +60,24 @@
         """Seconds between two heartbeats of a target."""
         return self.settings.platform.heartbeat_ms / 1000
 
-    def seen(self, said: announcement.Announcement) -> None:
+    def seen(self, said: announcement.Heartbeat) -> None:
         """A target announced itself."""
         now = self._clock.monotonic()
-        before = self._lives.name(said.life.target)
+        before = self._incarnations.current_name(said.incarnation.target)
         if not self._is_served(said.service):
             # It names no target to use; what it said before holds.
             invalid_input.record(
                 invalid_input.Source.HEARTBEAT,
                 f"the configuration has no service {said.service}",
-                target=said.life.name,
+                target=said.incarnation.name,
             )
             return
-        word = self._lives.heard(said.life, said.sequence, now)
-        if word is announcement.Word.LATE:
+        word = self._incarnations.record_heartbeat(
+            said.incarnation, said.sequence, now
+        )
+        if word is announcement.HeartbeatKind.LATE:
             return
-        name = said.life.name
+        name = said.incarnation.name
         if before is not None and before != name:
             self._succeed(before, name, word)
         self._heard_by_target[name] = now
@@ -81,7 +85,7 @@
         if site is None:
             if said.leaving:
                 # Never used here, so there is nothing to end.
-                self._lives.left(said.life, now)
+                self._incarnations.record_leave(said.incarnation, now)
                 return
             site = self._add(said)
         elif said.leaving:
@@ -90,18 +94,26 @@
         if self.stopping:
             self._beside.pause(name)
 
-    def left(self, life: announcement.Life) -> None:
+    def left(self, incarnation: announcement.TargetIncarnation) -> None:
         """A target says that it is about to end, or has."""
-        self._leave(self._lives.left(life, self._clock.monotonic()))
+        self._leave(
+            self._incarnations.record_leave(
+                incarnation, self._clock.monotonic()
+            )
+        )
 
     def recalled(self, name: str) -> None:
         """A peer remembers that a target had said so to an earlier run."""
-        life = announcement.life_named(name)
-        self._leave(self._lives.recalled(life, self._clock.monotonic()))
+        incarnation = announcement.parse_incarnation(name)
+        self._leave(
+            self._incarnations.record_remembered_leave(
+                incarnation, self._clock.monotonic()
+            )
+        )
 
     def find(self, name: str) -> str | None:
         """Name under which a target beside is kept, by any of its names."""
-        for found in (name, self._lives.name(name)):
+        for found in (name, self._incarnations.current_name(name)):
             if found in self._beside.site_by_target:
                 return found
         return None
@@ -117,11 +129,13 @@
         own = self.settings.platform.service
         return not self._in_force.known or service in known or service == own
 
-    def _succeed(self, before: str, name: str, word: announcement.Word) -> None:
+    def _succeed(
+        self, before: str, name: str, word: announcement.HeartbeatKind
+    ) -> None:
         """Another life of a target counts from now on, or its name is known."""
         if before not in self._beside.site_by_target:
             return
-        if word is announcement.Word.FURTHER:
+        if word is announcement.HeartbeatKind.FURTHER:
             self._beside.rename(before, name)
             self._heard_by_target.pop(before, None)
             self._on_change()
@@ -197,12 +211,14 @@
     def _found_beside(self, found: probe.Health) -> None:
         own = self.settings
         now = self._clock.monotonic()
-        if self.stopping or not self._lives.found(found.target, now):
+        if self.stopping or not self._incarnations.record_health_check(
+            found.target, now
+        ):
             return
         self._heard_by_target[found.target] = now
         self._add(
-            announcement.Announcement(
-                announcement.Life(found.target),
+            announcement.Heartbeat(
+                announcement.TargetIncarnation(found.target),
                 own.platform.service,
                 own.platform.target,
                 own.process.domain,
@@ -212,8 +228,8 @@
             )
         )
 
-    def _add(self, said: announcement.Announcement) -> besides.Site:
-        name = said.life.name
+    def _add(self, said: announcement.Heartbeat) -> besides.Site:
+        name = said.incarnation.name
         for other, site in list(self._beside.site_by_target.items()):
             if site.pool.address == said.address and other != name:
                 # The address has another target now.
@@ -222,7 +238,7 @@
         service = self._in_force.catalog.services_by_name.get(said.service)
         most = service.connections if service else DEFAULT_CONNECTIONS
         site = besides.Site(
-            said.life.target,
+            said.incarnation.target,
             admission.Controller(name, said.service, said.slots),
             pools.Pool(said.address, most, self._clock.monotonic),
         )
--- a/forklift_lab/programs.py
+++ b/forklift_lab/programs.py
@@ -283,20 +283,24 @@
         asker = client.Client(found.heartbeats)
         loop = asyncio.get_running_loop()
         sequence = FIRST_SEQUENCE
-        life = target.life
+        incarnation = target.incarnation
         while True:
             if target.down:
                 await asyncio.sleep(HEARTBEAT_EVERY)
                 continue
             # The numbers of each life begin anew.
-            sequence = sequence + 1 if life == target.life else 1
-            life, leaving = target.life, target.leaving
+            sequence = sequence + 1 if incarnation == target.incarnation else 1
+            incarnation, leaving = target.incarnation, target.leaving
             body = target.heartbeat(found.service, found.domain, sequence)
             with contextlib.suppress(client.Failed):
-                path = f"/Instances.Heartbeat/{life.target}"
+                path = f"/Instances.Heartbeat/{incarnation.target}"
                 answer = await asker.request("POST", path, body, timeout=1.0)
                 if answer.status == 200:
-                    target.known_at_by_life.setdefault(life, loop.time())
+                    target.known_at_by_incarnation.setdefault(
+                        incarnation, loop.time()
+                    )
                 if leaving and answer.status == 200:
-                    target.left_at_by_life.setdefault(life, loop.time())
+                    target.left_at_by_incarnation.setdefault(
+                        incarnation, loop.time()
+                    )
             await asyncio.sleep(HEARTBEAT_EVERY)
--- a/forklift_lab/promises.py
+++ b/forklift_lab/promises.py
@@ -89,11 +89,15 @@
 def _drained(soak: soaks.Soak) -> list[str]:
     late = []
     for target in soak.running.target_by_name.values():
-        arrivals = zip(target.received, target.lives_received, strict=True)
-        for received, life in arrivals:
-            left = target.left_at_by_life.get(life)
+        arrivals = zip(
+            target.received, target.incarnations_received, strict=True
+        )
+        for received, incarnation in arrivals:
+            left = target.left_at_by_incarnation.get(incarnation)
             if left is not None and received.at > left + soaks.DRAIN_WITHIN:
-                late.append(f"{life.name} {received.at - left:.1f} s after")
+                late.append(
+                    f"{incarnation.name} {received.at - left:.1f} s after"
+                )
     return late
 
 
@@ -105,10 +109,11 @@
     none from then on.
     """
     return [
-        f"{life.name} beside {place} had none for {until - since:.1f} s, "
+        f"{incarnation.name} beside {place} had none for "
+        f"{until - since:.1f} s, "
         f"{_came(soak, place, since, until)} requests came to {place}"
-        for place, life in soak.returns
-        for since, until in _without_work(soak, place, life)
+        for place, incarnation in soak.returns
+        for since, until in _without_work(soak, place, incarnation)
         if _left_alone(soak, place, since, until)
         and not _meet(soak.stops_by_place[place], since, until)
     ]
@@ -182,16 +187,16 @@
 
 
 def _without_work(
-    soak: soaks.Soak, place: str, life: announcement.Life
+    soak: soaks.Soak, place: str, incarnation: announcement.TargetIncarnation
 ) -> list[tuple[float, float]]:
     """Spans in which a life that was known had no work for too long."""
     target = soak.running.target_by_name[place]
-    known = target.known_at_by_life.get(life)
+    known = target.known_at_by_incarnation.get(incarnation)
     if known is None:
         return []
-    arrivals = zip(target.received, target.lives_received, strict=True)
-    at = [received.at for received, found in arrivals if found == life]
-    ended = soak.ended_at_by_life.get(life, soak.over_at)
+    arrivals = zip(target.received, target.incarnations_received, strict=True)
+    at = [received.at for received, found in arrivals if found == incarnation]
+    ended = soak.ended_at_by_incarnation.get(incarnation, soak.over_at)
     times = [known, *(when for when in at if known < when < ended), ended]
     return [
         (since, until)
@@ -208,7 +213,7 @@
         f"{late.place} served {late.version} after {early.version}"
         for late in served
         for early in served
-        if (early.place, early.life) == (late.place, late.life)
+        if (early.place, early.incarnation) == (late.place, late.incarnation)
         and early.version > late.version
         and early.ended <= late.began
     ]
--- a/forklift_lab/scripted.py
+++ b/forklift_lab/scripted.py
@@ -265,10 +265,14 @@
         self.public = ""
         # Loop seconds when its word that it leaves was acknowledged, and when
         # its first heartbeat was, by life.
-        self.left_at_by_life: dict[announcement.Life, float] = {}
-        self.known_at_by_life: dict[announcement.Life, float] = {}
+        self.left_at_by_incarnation: dict[
+            announcement.TargetIncarnation, float
+        ] = {}
+        self.known_at_by_incarnation: dict[
+            announcement.TargetIncarnation, float
+        ] = {}
         # Its life when each request arrived.
-        self.lives_received: list[announcement.Life] = []
+        self.incarnations_received: list[announcement.TargetIncarnation] = []
         self._connections: set[Connection] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task] = set()
@@ -284,9 +288,9 @@
             task.cancel()
 
     @property
-    def life(self) -> announcement.Life:
+    def incarnation(self) -> announcement.TargetIncarnation:
         """The run that it is in."""
-        return announcement.Life(self.name, self.born)
+        return announcement.TargetIncarnation(self.name, self.born)
 
     def restart(self) -> None:
         """Crashes, and starts again under its name: it knows nothing."""
@@ -378,7 +382,7 @@
                     await _misdirected(connection, received)
                     continue
                 self.received.append(received)
-                self.lives_received.append(self.life)
+                self.incarnations_received.append(self.incarnation)
                 name = self._fault(received)
                 self.played.append(name)
                 await fault_by_name[name](connection, received)
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -137,7 +137,7 @@
     status: int
     own: bool = True
     hung: bool = False
-    life: int = 0
+    incarnation: int = 0
     version: int = 0
     since: int = 0
     ended_after: float = 0.0
@@ -180,8 +180,10 @@
         self.lateness: list[tuple[float, float]] = []
         # Lives that began under a name that was used before, with the process
         # beside, and when each life ended.
-        self.returns: list[tuple[str, announcement.Life]] = []
-        self.ended_at_by_life: dict[announcement.Life, float] = {}
+        self.returns: list[tuple[str, announcement.TargetIncarnation]] = []
+        self.ended_at_by_incarnation: dict[
+            announcement.TargetIncarnation, float
+        ] = {}
         self._returning = seed >= RETURNS_FROM
         themes = (*THEMES, RETURNS) if self._returning else THEMES
         self.theme = self.rng.choice(themes)
@@ -305,7 +307,7 @@
         )
         method = "POST" if kind == "copies" else "GET"
         path = f"/{kind}/" if kind in KINDS else f"/{kind}{version or since}/"
-        life = self.runs_by_place[place.name]
+        incarnation = self.runs_by_place[place.name]
         began = self.now()
         status, own = 0, True
         try:
@@ -328,7 +330,7 @@
                 status,
                 own,
                 hung,
-                life,
+                incarnation,
                 version,
                 since,
             )
@@ -342,7 +344,7 @@
         kind = self.rng.choice(tuple(KINDS))
         request_id = self.new_id(kind)
         method = "POST" if kind == "copies" else "GET"
-        life = self.runs_by_place[place.name]
+        incarnation = self.runs_by_place[place.name]
         began = self.now()
         status, own, hung = 0, True, False
         ended = kept.Ended()
@@ -364,7 +366,7 @@
                 status,
                 own,
                 hung,
-                life,
+                incarnation,
                 ended_after=ended.after,
                 told=ended.told,
             )
@@ -460,7 +462,9 @@
 
     def rename(self, place: programs.Place) -> None:
         """Another target begins at the address of the one beside a process."""
-        self.ended_at_by_life[self.target(place).life] = self.now()
+        self.ended_at_by_incarnation[self.target(place).incarnation] = (
+            self.now()
+        )
         self.lives[place.name] += 1
         name = f"i-{place.name}-{self.lives[place.name]}"
         self.target(place).name = name
@@ -468,10 +472,10 @@
     def bring_back(self, place: programs.Place) -> None:
         """The target beside a process crashes, and is back under its name."""
         target = self.target(place)
-        self.ended_at_by_life[target.life] = self.now()
+        self.ended_at_by_incarnation[target.incarnation] = self.now()
         target.restart()
-        self.returns.append((place.name, target.life))
-        self.tell(f"{target.life.name} is back")
+        self.returns.append((place.name, target.incarnation))
+        self.tell(f"{target.incarnation.name} is back")
 
     async def ask_deadly(self, place: programs.Place) -> None:
         """Sends the request that crashes each target which runs it."""
@@ -496,9 +500,9 @@
         target = self.target(place)
         await asyncio.sleep(self.rng.uniform(*DOWN))
         if target.down:
-            self.ended_at_by_life[target.life] = self.now()
+            self.ended_at_by_incarnation[target.incarnation] = self.now()
             await target.revive()
-            self.tell(f"{target.life.name} is back after a crash")
+            self.tell(f"{target.incarnation.name} is back after a crash")
 
     def relays(self, place: programs.Place) -> programs.Relays:
         """The relays around a process."""
--- a/forklift_lab/troubles.py
+++ b/forklift_lab/troubles.py
@@ -196,7 +196,7 @@
         return
     target.leaving = True
     for _ in range(20):
-        if target.life in target.left_at_by_life:
+        if target.incarnation in target.left_at_by_incarnation:
             break
         await asyncio.sleep(programs.HEARTBEAT_EVERY / 2)
     await asyncio.sleep(soaks.DRAIN_WITHIN + 1.0)
--- a/test/processes.py
+++ b/test/processes.py
@@ -83,8 +83,8 @@
         return one
 
     def announce(self, one: proxy.Proxy, number: int, **changes) -> None:
-        said = announcement.Announcement(
-            announcement.Life(f"t{number}"),
+        said = announcement.Heartbeat(
+            announcement.TargetIncarnation(f"t{number}"),
             "s",
             self.targets[number].address,
             "d",
--- a/test/test_announcement.py
+++ b/test/test_announcement.py
@@ -6,46 +6,52 @@
 
 # Seconds by which a heartbeat may be late.
 LATE = 5.0
-OLD = announcement.Life("t", 100)
-NEW = announcement.Life("t", 200)
-NAMELESS = announcement.Life("t")
+OLD = announcement.TargetIncarnation("t", 100)
+NEW = announcement.TargetIncarnation("t", 200)
+NAMELESS = announcement.TargetIncarnation("t")
 
 
 class Story:
     """What was heard of target t, at which times."""
 
     def __init__(self):
-        self.lives = announcement.Lives(LATE)
+        self.lives = announcement.IncarnationTracker(LATE)
         self.now = 0.0
-        self._sequence_by_life: dict[announcement.Life, int] = {}
+        self._sequence_by_incarnation: dict[
+            announcement.TargetIncarnation, int
+        ] = {}
 
     def after(self, seconds: float) -> "Story":
         self.now += seconds
         return self
 
     def beats(
-        self, life: announcement.Life, sequence: int | None = None
-    ) -> announcement.Word:
+        self,
+        incarnation: announcement.TargetIncarnation,
+        sequence: int | None = None,
+    ) -> announcement.HeartbeatKind:
         if sequence is None:
-            sequence = self._sequence_by_life.get(life, 0) + 1
-            self._sequence_by_life[life] = sequence
-        return self.lives.heard(life, sequence, self.now)
+            sequence = self._sequence_by_incarnation.get(incarnation, 0) + 1
+            self._sequence_by_incarnation[incarnation] = sequence
+        return self.lives.record_heartbeat(incarnation, sequence, self.now)
 
-    def leaves(self, life: announcement.Life) -> str | None:
-        return self.lives.left(life, self.now)
+    def leaves(self, incarnation: announcement.TargetIncarnation) -> str | None:
+        return self.lives.record_leave(incarnation, self.now)
 
-    def is_recalled(self, life: announcement.Life) -> str | None:
-        return self.lives.recalled(life, self.now)
+    def is_recalled(
+        self, incarnation: announcement.TargetIncarnation
+    ) -> str | None:
+        return self.lives.record_remembered_leave(incarnation, self.now)
 
     def is_found(self) -> bool:
-        return self.lives.found("t", self.now)
+        return self.lives.record_health_check("t", self.now)
 
     @property
     def counts(self) -> str | None:
-        return self.lives.name("t")
+        return self.lives.current_name("t")
 
 
-FIRST, FURTHER, LATE_WORD = announcement.Word
+FIRST, FURTHER, LATE_WORD = announcement.HeartbeatKind
 
 
 def test_a_target_is_back_under_its_name_though_it_never_said_that_it_leaves():
@@ -159,7 +165,7 @@
 def test_a_false_birth_keeps_the_true_life_out_for_no_longer_than_a_late_word():
     story = Story()
     story.beats(OLD)
-    assert story.beats(announcement.Life("t", 10**15)) is FIRST
+    assert story.beats(announcement.TargetIncarnation("t", 10**15)) is FIRST
     assert story.after(1.5).beats(OLD) is LATE_WORD
     assert story.after(LATE).beats(OLD) is FIRST
 
@@ -198,9 +204,13 @@
 
 
 def test_only_the_last_lives_are_remembered(monkeypatch):
-    monkeypatch.setattr(announcement, "KEPT", 3)
-    lives = announcement.Lives(LATE)
+    monkeypatch.setattr(announcement, "MAX_REMEMBERED", 3)
+    lives = announcement.IncarnationTracker(LATE)
     for number in range(10):
-        lives.heard(announcement.Life(f"t{number}", 1), 1, float(number))
-        lives.recalled(announcement.Life("t", number + 1), 0.0)
-    assert len(lives._known_by_target) == len(lives._over) == 3
+        lives.record_heartbeat(
+            announcement.TargetIncarnation(f"t{number}", 1), 1, float(number)
+        )
+        lives.record_remembered_leave(
+            announcement.TargetIncarnation("t", number + 1), 0.0
+        )
+    assert len(lives._current_by_target) == len(lives._ended) == 3
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -127,8 +127,8 @@
     """The doors of a process, and what came through them."""
 
     def __init__(self):
-        self.seen: list[announcement.Announcement] = []
-        self.left: list[announcement.Life] = []
+        self.seen: list[announcement.Heartbeat] = []
+        self.left: list[announcement.TargetIncarnation] = []
         self._doors = endpoints.Endpoints(
             self.seen.append, self.left.append, lambda: True
         )
@@ -146,7 +146,7 @@
     assert status == (200 if one.seen else 400)
     for said in one.seen:
         # Only what is optional was missing, or a text was another one.
-        assert said.life.target == "i-1"
+        assert said.incarnation.target == "i-1"
         assert 1 <= said.slots <= endpoints.MAX_SLOTS
         assert 0 <= said.sequence <= endpoints.MAX_SAFE_INTEGER
         assert 0 <= said.cold <= endpoints.MAX_WARMUP_MS
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -106,8 +106,8 @@
     """What the doors let in."""
 
     def __init__(self):
-        self.announcements: list[announcement.Announcement] = []
-        self.left: list[announcement.Life] = []
+        self.announcements: list[announcement.Heartbeat] = []
+        self.left: list[announcement.TargetIncarnation] = []
         self.ready = True
         self.doors = endpoints.Endpoints(
             self.announcements.append, self.left.append, lambda: self.ready
@@ -134,8 +134,15 @@
     path = "/Instances.Heartbeat/i-1"
     assert seen.call(path, json.dumps(HEARTBEAT).encode()).status == 200
     assert seen.announcements == [
-        announcement.Announcement(
-            announcement.Life("i-1"), "s", "10.0.0.1:80", "z", 3, True, 4, 0.5
+        announcement.Heartbeat(
+            announcement.TargetIncarnation("i-1"),
+            "s",
+            "10.0.0.1:80",
+            "z",
+            3,
+            True,
+            4,
+            0.5,
         )
     ]
 
@@ -145,7 +152,9 @@
     body = json.dumps({**HEARTBEAT, "born": 1764720000123}).encode()
     assert seen.call("/Instances.Heartbeat/i-1", body).status == 200
     (said,) = seen.announcements
-    assert said.life == announcement.Life("i-1", 1764720000123)
+    assert said.incarnation == announcement.TargetIncarnation(
+        "i-1", 1764720000123
+    )
 
 
 def test_a_malformed_heartbeat_is_refused():
@@ -157,14 +166,14 @@
 def test_leaving_needs_no_body():
     seen = Seen()
     assert seen.call("/Instances.Deregister/i-1").status == 200
-    assert seen.left == [announcement.Life("i-1")]
+    assert seen.left == [announcement.TargetIncarnation("i-1")]
 
 
 def test_leaving_may_tell_when_its_target_was_born():
     seen = Seen()
     body = b'{"born": 1764720000123}'
     assert seen.call("/Instances.Deregister/i-1", body).status == 200
-    assert seen.left == [announcement.Life("i-1", 1764720000123)]
+    assert seen.left == [announcement.TargetIncarnation("i-1", 1764720000123)]
 
 
 @pytest.mark.parametrize(("ready", "status"), [(True, 200), (False, 503)])
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -103,7 +103,7 @@
 
 def test_a_target_that_left_is_not_taken_back():
     async def work(fleet):
-        fleet.proxies[0].announced.left(announcement.Life("t0"))
+        fleet.proxies[0].announced.left(announcement.TargetIncarnation("t0"))
         fleet.announce(fleet.proxies[0], 0, sequence=5)
         assert (await fleet.ask(0)).status == 200
         assert fleet.targets[0].received == []
@@ -576,7 +576,10 @@
         await helper.until(lambda: len(fences) == 1)
         # Proven not to run there, it goes to another one in time.
         fleet.announce(
-            fleet.proxies[2], 2, life=announcement.Life("t9"), sequence=1
+            fleet.proxies[2],
+            2,
+            incarnation=announcement.TargetIncarnation("t9"),
+            sequence=1,
         )
         assert (await asked).status == 200
         assert fleet.targets[1].received == []
@@ -682,7 +685,7 @@
 def test_one_that_started_again_is_reminded_of_what_had_left():
     async def work(fleet):
         old = fleet.proxies.pop(0)
-        old.announced.left(announcement.Life("t0"))
+        old.announced.left(announcement.TargetIncarnation("t0"))
         other = fleet.proxies[0]
         await helper.until(lambda: len(other.balancer.views("s")) == 1)
         fixed = dataclasses.replace(
@@ -696,8 +699,10 @@
         new = proxy.Proxy(read, store, adapter.decode, dialect.OWN)
         fleet.proxies.insert(0, new)
         await new.start()
-        lives = new.announced._lives
-        await helper.until(lambda: announcement.Life("t0") in lives._over)
+        lives = new.announced._incarnations
+        await helper.until(
+            lambda: announcement.TargetIncarnation("t0") in lives._ended
+        )
         # A heartbeat that was late comes to the new run.
         fleet.announce(new, 0)
         assert "t0" not in new.beside.site_by_target
@@ -724,7 +729,7 @@
         await helper.until(lambda: new.neighbours.met)
         fleet.announce(new, 0, sequence=2)
         await helper.until(lambda: len(picked(other)) == 2)
-        assert not new.announced._lives._over
+        assert not new.announced._incarnations._ended
 
     def picked(one: proxy.Proxy) -> list[str]:
         return [
@@ -739,8 +744,8 @@
 def test_an_address_used_again_ends_the_target_before():
     async def work(fleet):
         one = fleet.proxies[0]
-        said = announcement.Announcement(
-            announcement.Life("t9"),
+        said = announcement.Heartbeat(
+            announcement.TargetIncarnation("t9"),
             "s",
             fleet.targets[0].address,
             "d",
@@ -777,7 +782,9 @@
         for _ in range(200):
             await asyncio.sleep(0)
         assert one.forwarder.sends <= sends + 1
-        fleet.announce(one, 0, life=announcement.Life("t7"), sequence=1)
+        fleet.announce(
+            one, 0, incarnation=announcement.TargetIncarnation("t7"), sequence=1
+        )
         assert (await asked).status == 200
 
     processes.play(work, [[]])
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -46,8 +46,12 @@
     for number, target in enumerate(fleet.targets):
         if target.down:
             await target.revive()
-            life = announcement.Life(target.name, target.born)
-            fleet.announce(fleet.proxies[number], number, life=life)
+            incarnation = announcement.TargetIncarnation(
+                target.name, target.born
+            )
+            fleet.announce(
+                fleet.proxies[number], number, incarnation=incarnation
+            )
 
 
 def crashes(fleet: processes.Fleet) -> int:
@@ -169,8 +173,8 @@
         target.script.append("reset")
         assert (await fleet.ask()).status == 502
         target.born += scripted.RESTART_MS
-        life = announcement.Life(target.name, target.born)
-        fleet.announce(one, 0, life=life)
+        incarnation = announcement.TargetIncarnation(target.name, target.born)
+        fleet.announce(one, 0, incarnation=incarnation)
         (found,) = one.quarantine.all_evidence(one.clock.monotonic())
         assert len(found.crashes) == 1
 
@@ -184,7 +188,7 @@
         target.script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
-        one.announced.left(announcement.Life(target.name))
+        one.announced.left(announcement.TargetIncarnation(target.name))
         target.crash()
         assert (await runs).status == 502
         assert one.quarantine.all_evidence(one.clock.monotonic()) == []
@@ -309,7 +313,7 @@
 
     async def work(fleet):
         entry, other = fleet.proxies
-        entry.announced.left(announcement.Life("t0"))
+        entry.announced.left(announcement.TargetIncarnation("t0"))
         hold(other)
         answer = await fleet.ask(0, "/a/deadly")
         assert answer.status == 503
@@ -392,7 +396,7 @@
 
     async def work(fleet):
         entry, other = fleet.proxies
-        entry.announced.left(announcement.Life("t0"))
+        entry.announced.left(announcement.TargetIncarnation("t0"))
         other.beside.site_by_target["t1"].controller.slots = 1
         fleet.targets[1].script.append("hold")
         runs = asyncio.create_task(fleet.ask(1))
@@ -414,7 +418,7 @@
 
     async def work(fleet):
         entry, other = fleet.proxies
-        entry.announced.left(announcement.Life("t0"))
+        entry.announced.left(announcement.TargetIncarnation("t0"))
         suspect(other)
         gate_of = other.beside.site_by_target["t1"].controller
         arrive, seen = gate_of.admit, []
@@ -457,7 +461,7 @@
         one, target = fleet.proxies[0], fleet.targets[0]
         target.script.append("reset")
         assert (await fleet.ask()).status == 502
-        fleet.announce(one, 0, life=announcement.Life("t9"))
+        fleet.announce(one, 0, incarnation=announcement.TargetIncarnation("t9"))
         assert len(one.quarantine.all_evidence(one.clock.monotonic())) == 1
 
     first = processes.record(1, r=processes.route("non_idempotent"))
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -17,13 +17,17 @@
 from test import processes
 
 State = messages.TargetState
-OLD = announcement.Life("t0", 100)
-NEW = announcement.Life("t0", 200)
+OLD = announcement.TargetIncarnation("t0", 100)
+NEW = announcement.TargetIncarnation("t0", 200)
 
 
-def announce(fleet: processes.Fleet, life: announcement.Life, **changes):
+def announce(
+    fleet: processes.Fleet,
+    incarnation: announcement.TargetIncarnation,
+    **changes,
+):
     """The target beside the first process sends a heartbeat."""
-    fleet.announce(fleet.proxies[0], 0, life=life, **changes)
+    fleet.announce(fleet.proxies[0], 0, incarnation=incarnation, **changes)
 
 
 async def known_as(fleet: processes.Fleet, *names: str) -> None:
@@ -154,7 +158,7 @@
         own = dataclasses.replace(one.settings.platform, service="s")
         one.announced.settings = dataclasses.replace(one.settings, platform=own)
         one.beside.site_by_target.clear()
-        one.announced._lives = announcement.Lives(5.0)
+        one.announced._incarnations = announcement.IncarnationTracker(5.0)
         one.announced._found_beside(announced.probe.Health(True, "t0", slots=3))
         site = one.beside.site_by_target["t0"]
         site.pool.address = fleet.targets[0].address
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -42,7 +42,7 @@
 # When a read that waits was lost, and is not given up in time.
 LOST = ACKNOWLEDGED - soak.GIVES_UP + 1.0
 # A target, and when it was known to be back.
-LIFE = announcement.Life("t", 2)
+LIFE = announcement.TargetIncarnation("t", 2)
 WORKED = 30.0 + soak.WORK_WITHIN
 BACK = {
     "returns": [("p", LIFE)],
@@ -82,9 +82,13 @@
     def __init__(self, *arrivals: tuple[str, float]):
         self.received = [received(name, at) for name, at in arrivals]
         self.played = ["well"] * len(arrivals)
-        self.lives_received = [LIFE] * len(arrivals)
-        self.left_at_by_life: dict[announcement.Life, float] = {}
-        self.known_at_by_life: dict[announcement.Life, float] = {}
+        self.incarnations_received = [LIFE] * len(arrivals)
+        self.left_at_by_incarnation: dict[
+            announcement.TargetIncarnation, float
+        ] = {}
+        self.known_at_by_incarnation: dict[
+            announcement.TargetIncarnation, float
+        ] = {}
         self.arrived = {name for name, _ in arrivals}
 
 
@@ -100,8 +104,8 @@
 def breaches(arrivals=(), told=(), **changes) -> list[str]:
     """What the promises say of these arrivals and answers."""
     target = Target(*arrivals)
-    target.left_at_by_life = changes.get("left", {})
-    target.known_at_by_life = changes.get("known", {})
+    target.left_at_by_incarnation = changes.get("left", {})
+    target.known_at_by_incarnation = changes.get("known", {})
     target.arrived |= changes.get("arrived", set())
     running = types.SimpleNamespace(
         target_by_name={"p": target},
@@ -119,7 +123,7 @@
     found.died_at_by_place.update(changes.get("died", {}))
     found.unserved_by_place.update(changes.get("unserved", {}))
     found.returns = changes.get("returns", [])
-    found.ended_at_by_life = changes.get("ended", {})
+    found.ended_at_by_incarnation = changes.get("ended", {})
     found.over_at = changes.get("over", LATE)
     return soak.check(found)
 
