--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -359,7 +359,7 @@
         names = [
             name
             for name, member in self._directory.member_by_name.items()
-            if member.usable and self._directory.shares(member.info)
+            if member.usable and self._directory.gossips_with(member.info)
         ]
         return rendezvous.rank(_RING, [self._directory.own.name, *names])
 
--- a/forklift/gossip.py
+++ b/forklift/gossip.py
@@ -20,26 +20,26 @@
 Digest = Callable[[], int]
 Liveness = messages.Liveness
 
-PEERS = 48
+MAX_PEERS = 48
 PING_PERIOD = 1.0
-PONG_WAIT = 1.0
-MISSES = 2
+PONG_TIMEOUT = 1.0
+MISSES_BEFORE_SUSPECT = 2
 EXPIRY_PERIOD = 0.5
 # Seconds between pings to processes that are taken for dead: one that starts
 # again while the store is away is met by those who know its address.
-REVIVE_PERIOD = 1.0
+DEAD_PING_PERIOD = 1.0
 # News that one message carries: so much that it fits a datagram. When all start
 # at once each has news of all, and what one message lacks another must bring.
-RUMORS_A_PING = 24
+MAX_RUMORS_PER_PING = 24
 # Seconds between two tellings of news: what comes together, as when all start
 # at once, is told together.
-SPREAD_PERIOD = 0.15
+GOSSIP_PERIOD = 0.15
 FAN_OUT = 3
-SPREAD_FACTOR = 1
+RETRANSMIT_FACTOR = 1
 SYNC_PERIOD = 5.0
 # Seconds without news after which a difference is more than news on its way.
-SYNC_AFTER = 2.0
-SYNC_PART = 100
+SYNC_SETTLE_TIME = 2.0
+MAX_RUMORS_PER_SYNC = 100
 
 
 @dataclasses.dataclass(frozen=True)
@@ -55,7 +55,7 @@
 
     address: str
     message: messages.Control
-    renew: bool = False
+    new_connection: bool = False
 
 
 class Gossip:
@@ -91,24 +91,28 @@
             names = [
                 name
                 for name, member in self.directory.member_by_name.items()
-                if member.usable and self.directory.shares(member.info)
+                if member.usable and self.directory.gossips_with(member.info)
             ]
             self._peers = names
-            if len(names) > PEERS:
+            if len(names) > MAX_PEERS:
                 own = self.directory.own.name
-                self._peers = rendezvous.select(own, names, PEERS)
+                self._peers = rendezvous.select(own, names, MAX_PEERS)
             self._peers_of = self.directory.generation
         return self._peers
 
     @property
-    def has_news(self) -> bool:
+    def has_pending_rumors(self) -> bool:
         """Whether there is news that peers are told with the next tick."""
         return self._news
 
-    def unheard(self) -> tuple[str, ...]:
+    def unreachable_peers(self) -> tuple[str, ...]:
         """Names of peers whose answers are missing."""
         return tuple(
-            sorted(n for n, m in self._misses_by_name.items() if m >= MISSES)
+            sorted(
+                n
+                for n, m in self._misses_by_name.items()
+                if m >= MISSES_BEFORE_SUSPECT
+            )
         )
 
     def tick(self, now: float) -> list[Send]:
@@ -118,13 +122,13 @@
             self._next_expiry = now + EXPIRY_PERIOD
             news += self.directory.expire(now)
         for rumor in news:
-            self.spread(rumor.info.name)
+            self.queue_rumor(rumor.info.name)
         sends += self._tell_news(now)
         if now >= self._next_ping:
             self._next_ping = now + PING_PERIOD
             sends += self._ping_next(now)
         if now >= self._next_revival:
-            self._next_revival = now + REVIVE_PERIOD
+            self._next_revival = now + DEAD_PING_PERIOD
             sends += self._ping_gone(now)
         return sends
 
@@ -139,10 +143,10 @@
             return []
         return [self._ping(self._rng.choice(gone), now)]
 
-    def spread(self, name: str) -> None:
+    def queue_rumor(self, name: str) -> None:
         """Has a few peers told with the next tick, others with later pings."""
         members = len(self.directory.member_by_name) + 2
-        tellings = math.ceil(SPREAD_FACTOR * math.log2(members))
+        tellings = math.ceil(RETRANSMIT_FACTOR * math.log2(members))
         self._tellings_by_name[name] = tellings
         self._news = True
 
@@ -151,7 +155,7 @@
             return []
         self._news = False
         self._news_at = now
-        self._next_spread = now + SPREAD_PERIOD
+        self._next_spread = now + GOSSIP_PERIOD
         return [self._ping(peer) for peer in self._mostly_near()]
 
     def _mostly_near(self) -> list[str]:
@@ -178,11 +182,11 @@
         """Takes a ping, pong or sync in and answers it."""
         sends: list[Send] = []
         described = isinstance(message.sender, messages.ProcessInfo)
-        if described and self.directory.hear(message.sender, now):
-            self.spread(message.sender.name)
+        if described and self.directory.apply_direct(message.sender, now):
+            self.queue_rumor(message.sender.name)
         for rumor in getattr(message, "rumors", ()):
             if self.directory.apply(rumor, now):
-                self.spread(rumor.info.name)
+                self.queue_rumor(rumor.info.name)
         back = message.sender.control
         if isinstance(message, messages.Ping) and message.wants_answer:
             pong = messages.Pong(
@@ -235,9 +239,9 @@
             if name in self.directory.member_by_name:
                 # The connection may have fallen silent, in either direction.
                 sends.append(self._ping(name, now, again=True))
-            if self._misses_by_name[name] < MISSES:
+            if self._misses_by_name[name] < MISSES_BEFORE_SUSPECT:
                 continue
-            if self.directory.judge(name, Liveness.SUSPECT, now):
+            if self.directory.mark(name, Liveness.SUSPECT, now):
                 news.append(self.directory.rumor(name))
         for name in list(self._misses_by_name):
             member = self.directory.member_by_name.get(name)
@@ -254,7 +258,7 @@
             member = self.directory.member_by_name.get(name)
             if member is not None and member.usable:
                 ping = self._ping(name, now)
-                waiting = (name, now + PONG_WAIT)
+                waiting = (name, now + PONG_TIMEOUT)
                 self._waiting_by_number[self._number] = waiting
                 return [ping]
         return []
@@ -287,7 +291,7 @@
             key=self._tellings_by_name.__getitem__,
             reverse=True,
         )
-        for name in fresh[:RUMORS_A_PING]:
+        for name in fresh[:MAX_RUMORS_PER_PING]:
             self._tellings_by_name[name] -= 1
             if self._tellings_by_name[name] <= 0:
                 del self._tellings_by_name[name]
@@ -302,11 +306,11 @@
         same = message.digest == self.directory.digest()
         own = membership.services(self.directory.own)
         member = self.directory.member_by_name.get(message.sender.name)
-        if not self.directory.unscoped:
+        if not self.directory.tracks_all:
             # Only those with the same services know the same members.
             same = same or member is None
             same = same or membership.services(member.info) != own
-        settling = now - self._news_at < SYNC_AFTER
+        settling = now - self._news_at < SYNC_SETTLE_TIME
         if same or settling or now < self._next_sync:
             return []
         self._next_sync = now + SYNC_PERIOD
@@ -321,12 +325,12 @@
             if member.liveness <= Liveness.SUSPECT
             and (
                 not wanted
-                or self.directory.unscoped
+                or self.directory.tracks_all
                 or wanted & membership.services(member.info)
             )
         ]
         parts = []
-        for start in range(0, max(1, len(rumors)), SYNC_PART):
-            part = tuple(rumors[start : start + SYNC_PART])
+        for start in range(0, max(1, len(rumors)), MAX_RUMORS_PER_SYNC):
+            part = tuple(rumors[start : start + MAX_RUMORS_PER_SYNC])
             parts.append(messages.SyncReply(own, part))
         return parts
--- a/forklift/membership.py
+++ b/forklift/membership.py
@@ -8,13 +8,13 @@
 
 Liveness = messages.Liveness
 
-SUSPECT_FOR = 3.0
-FORGET_AFTER = 600.0
+SUSPICION_TIMEOUT = 3.0
+DEAD_RETENTION = 600.0
 # Processes remembered of a service that has no target here.
-GATEWAYS = 8
+GATEWAYS_PER_SERVICE = 8
 # Up to this many processes all are kept, whatever services they share: their
 # descriptions are a few hundred bytes each.
-KEEP_ALL = 1024
+FULL_MEMBERSHIP_LIMIT = 1024
 
 
 @dataclasses.dataclass(frozen=True)
@@ -56,9 +56,11 @@
     target yet keeps a few of every service.
     """
 
-    def __init__(self, own: messages.ProcessInfo, keep_all: int = 0):
+    def __init__(
+        self, own: messages.ProcessInfo, full_membership_limit: int = 0
+    ):
         self.own = own
-        self._keep_all = keep_all
+        self._full_membership_limit = full_membership_limit
         self.member_by_name: dict[str, Member] = {}
         # Rises when somebody comes, goes, or changes services.
         self.generation = 0
@@ -125,11 +127,11 @@
             return True
         return self._apply_same_boot(known, rumor, now)
 
-    def hear(self, info: messages.ProcessInfo, now: float) -> bool:
+    def apply_direct(self, info: messages.ProcessInfo, now: float) -> bool:
         """A process spoke to us itself, which is news as any other."""
         return self.apply(messages.Rumor(Liveness.ALIVE, info), now, True)
 
-    def judge(self, name: str, liveness: Liveness, now: float) -> bool:
+    def mark(self, name: str, liveness: Liveness, now: float) -> bool:
         """This process sees another one so; True when that is news."""
         known = self.member_by_name.get(name)
         if known is None or liveness <= known.liveness:
@@ -142,10 +144,10 @@
         news = []
         for name, member in list(self.member_by_name.items()):
             age = now - member.since
-            if member.liveness is Liveness.SUSPECT and age >= SUSPECT_FOR:
+            if member.liveness is Liveness.SUSPECT and age >= SUSPICION_TIMEOUT:
                 self._set(Member(member.info, Liveness.DEAD, now))
                 news.append(messages.Rumor(Liveness.DEAD, member.info))
-            elif member.liveness >= Liveness.DEAD and age >= FORGET_AFTER:
+            elif member.liveness >= Liveness.DEAD and age >= DEAD_RETENTION:
                 self._forget(name)
         return news
 
@@ -175,20 +177,20 @@
         """Equal on two processes that know the same."""
         return self._digest ^ _hash(Liveness.ALIVE, self.own)
 
-    def shares(self, info: messages.ProcessInfo) -> bool:
+    def gossips_with(self, info: messages.ProcessInfo) -> bool:
         """Whether a process is told news of, and tells ours."""
-        if self.unscoped:
+        if self.tracks_all:
             return True
         own = services(self.own)
         return not own or not own.isdisjoint(services(info))
 
     @property
-    def unscoped(self) -> bool:
+    def tracks_all(self) -> bool:
         """Whether all processes are kept, as there are few."""
-        return len(self.member_by_name) < self._keep_all
+        return len(self.member_by_name) < self._full_membership_limit
 
     def _wanted(self, info: messages.ProcessInfo) -> bool:
-        if self.unscoped:
+        if self.tracks_all:
             return True
         own = services(self.own)
         if not own.isdisjoint(services(info)):
@@ -199,7 +201,7 @@
                 for member in self.member_by_name.values()
                 if member.usable and service in services(member.info)
             )
-            if gateways < GATEWAYS:
+            if gateways < GATEWAYS_PER_SERVICE:
                 return True
         return False
 
@@ -260,7 +262,7 @@
         self.generation += 1
 
     def _part(self, member: Member) -> int:
-        if self._keep_all == 0 and services(self.own).isdisjoint(
+        if self._full_membership_limit == 0 and services(self.own).isdisjoint(
             services(member.info)
         ):
             return 0
--- a/forklift/quarantine_sync.py
+++ b/forklift/quarantine_sync.py
@@ -67,7 +67,7 @@
         news = self._quarantine.take_changes(now)
         peers = self._peers()
         sends = self._tell(peers, news.own)
-        if len(self._directory.member_by_name) > gossip.PEERS:
+        if len(self._directory.member_by_name) > gossip.MAX_PEERS:
             few = self._rng.sample(peers, min(RELAY_FANOUT, len(peers)))
             sends += self._tell(few, news.heard)
         return sends
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -50,7 +50,9 @@
         quarantine: quarantines.Quarantine | None = None,
         on_kept: Callable[[str, bytes], None] = lambda name, data: None,
     ):
-        self.directory = membership.Directory(own, membership.KEEP_ALL)
+        self.directory = membership.Directory(
+            own, membership.FULL_MEMBERSHIP_LIMIT
+        )
         quarantine = quarantine or quarantines.Quarantine()
         self.gossip = gossip.Gossip(self.directory, rng, quarantine.digest)
         self.quarantine_sync = quarantine_sync.QuarantineSync(
@@ -114,7 +116,7 @@
     def active(self, now: float) -> bool:
         """Whether there is something to tell that does not wait."""
         return (
-            self.gossip.has_news
+            self.gossip.has_pending_rumors
             or self.quarantine_sync.has_changes
             or self.dissemination.active(now)
         )
@@ -251,7 +253,7 @@
 
     def _send(self, sends: list[gossip.Send]) -> None:
         for send in sends:
-            self._send_to(send.address, send.message, send.renew)
+            self._send_to(send.address, send.message, send.new_connection)
 
     def _learn(self) -> None:
         """Takes news of members over into the choice of targets."""
@@ -294,4 +296,4 @@
         """Tells peers of this process's targets at once."""
         if self.describe():
             self._learn()
-            self.gossip.spread(self.directory.own.name)
+            self.gossip.queue_rumor(self.directory.own.name)
--- a/forklift_lab/limit_model.py
+++ b/forklift_lab/limit_model.py
@@ -78,7 +78,7 @@
         now = self.model.now
         for name, at in self.heard_at.items():
             if now - at > DEAD_AFTER:
-                self.directory.judge(name, messages.Liveness.DEAD, now)
+                self.directory.mark(name, messages.Liveness.DEAD, now)
         self.send(self.limiter.tick(now))
         for organisation, asked in self.waiting.items():
             late = [at for at in asked if now - at > PATIENCE]
@@ -103,9 +103,9 @@
                     for field in info.__struct_fields__
                 )
             )
-            self.directory.hear(refuted, now)
+            self.directory.apply_direct(refuted, now)
             return
-        self.directory.hear(info, now)
+        self.directory.apply_direct(info, now)
 
     def arrive(self, organisation: str) -> None:
         """A request comes."""
@@ -268,7 +268,7 @@
         # It reads from the store who is there.
         for other in self.node_by_name.values():
             if other is not node:
-                node.directory.hear(other.directory.own, self.now)
+                node.directory.apply_direct(other.directory.own, self.now)
                 node.heard_at[other.directory.own.name] = self.now
         self.at(self.rng.uniform(0, TICK), lambda: self._tick(node))
         self.at(0.0, lambda: self._beat(node))
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -115,7 +115,9 @@
         for node in self.node_by_name.values():
             for other in self.node_by_name.values():
                 if other is not node:
-                    node.directory.hear(other.directory.own, self.clock.now)
+                    node.directory.apply_direct(
+                        other.directory.own, self.clock.now
+                    )
         self.run(2.0)
 
     def start(self, name: str) -> Node:
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -111,13 +111,13 @@
     for version in range(2, 7):
         found.publish(version)
         found.run(0.5)
-    found.run(gossip.REVIVE_PERIOD + IN_FORCE_WITHIN)
+    found.run(gossip.DEAD_PING_PERIOD + IN_FORCE_WITHIN)
     first = min(
         at
         for (name, _), at in found.taken.items()
         if name == "p3" and at > started
     )
-    assert first - started <= gossip.REVIVE_PERIOD + IN_FORCE_WITHIN
+    assert first - started <= gossip.DEAD_PING_PERIOD + IN_FORCE_WITHIN
     assert found.node_by_name["p3"].version == 6
     assert {key for key in behind(found) if key[0] != "p3"} == set()
 
@@ -152,7 +152,7 @@
     def __init__(self, *others: str, version: int = 1):
         self.now = 100.0
         self.directory = membership.Directory(
-            helper.info("own"), membership.KEEP_ALL
+            helper.info("own"), membership.FULL_MEMBERSHIP_LIMIT
         )
         self.in_force = catalog.InForce()
         self.decisions = dissemination.Dissemination(
@@ -165,7 +165,7 @@
     def hear(self, name: str, boot: int = 1, config: int = 0) -> None:
         """Another process is known to have a version."""
         info = helper.info(name, boot=boot, config=config, started=float(boot))
-        self.directory.hear(info, self.now)
+        self.directory.apply_direct(info, self.now)
 
     def take(self, version: int) -> list[gossip.Send]:
         """A version comes into force here."""
@@ -213,13 +213,13 @@
     rig.take(2)
     assert rig.tick(dissemination.HAND_ON_AFTER - 0.01) == []
     (first,) = rig.tick(0.01)
-    assert (first.message.confirm, first.renew) == (True, False)
+    assert (first.message.confirm, first.new_connection) == (True, False)
     pauses = []
     steady = dissemination.RETRY_STEADY
     for _ in range(steady + 6):
         before = rig.now
         (again,) = rig.next_sends()
-        assert again.renew and again.message.is_retry
+        assert again.new_connection and again.message.is_retry
         pauses.append(rig.now - before)
     for pause in pauses[:steady]:
         assert pause == pytest.approx(dissemination.RETRY_FIRST, abs=0.06)
@@ -233,7 +233,7 @@
     assert rig.told("a", 2) == rig.told("b", 2) == []
     asked = [send for _ in range(4) for send in rig.next_sends()]
     assert kinds(asked) == ["CatalogRequest"] * 4
-    assert [send.renew for send in asked] == [False, True, True, True]
+    assert [send.new_connection for send in asked] == [False, True, True, True]
     assert [send.message.is_retry for send in asked] == [
         False,
         True,
@@ -251,13 +251,13 @@
 def test_what_comes_again_is_answered_over_a_new_connection():
     rig = Rig("peer", version=2)
     (answer,) = rig.told("peer", 2, confirm=True)
-    assert not answer.renew
+    assert not answer.new_connection
     (answer,) = rig.told("peer", 2, confirm=True, is_retry=True)
-    assert answer.renew
+    assert answer.new_connection
     (offer,) = rig.asked("peer", 1, is_retry=False)
-    assert not offer.renew
+    assert not offer.new_connection
     (offer,) = rig.asked("peer", 1, is_retry=True)
-    assert offer.renew
+    assert offer.new_connection
 
 
 def test_one_without_any_version_asks_at_once():
@@ -309,9 +309,11 @@
     names = {f"p{number}" for number in range(20)}
     watched = set()
     for own in names:
-        directory = membership.Directory(helper.info(own), membership.KEEP_ALL)
+        directory = membership.Directory(
+            helper.info(own), membership.FULL_MEMBERSHIP_LIMIT
+        )
         for name in names - {own}:
-            directory.hear(helper.info(name), 0.0)
+            directory.apply_direct(helper.info(name), 0.0)
         decisions = dissemination.Dissemination(
             directory, catalog.InForce(), readers.Readers(directory)
         )
@@ -327,7 +329,7 @@
     rig.hear("peer", boot=1000, config=1)
     if delayed:
         late = helper.info("peer", boot=999, config=2, started=999.0)
-        rig.directory.hear(late, rig.now)
+        rig.directory.apply_direct(late, rig.now)
         rig.decisions.heard(late, rig.now)
     assert kinds(rig.tick(60.0)) == ["CatalogVersion"]
 
@@ -344,8 +346,8 @@
     rig = Rig(*(f"p{number}" for number in range(100)))
     for name in list(rig.directory.member_by_name):
         rig.told(name, 1)
-        rig.directory.judge(name, messages.Liveness.LEFT, rig.now)
-    rig.now += membership.FORGET_AFTER
+        rig.directory.mark(name, messages.Liveness.LEFT, rig.now)
+    rig.now += membership.DEAD_RETENTION
     rig.directory.expire(rig.now)
     assert rig.directory.member_by_name == {}
     rig.tick(60.0)
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -11,7 +11,9 @@
 
 
 def made() -> membership.Directory:
-    return membership.Directory(helper.info("own"), membership.KEEP_ALL)
+    return membership.Directory(
+        helper.info("own"), membership.FULL_MEMBERSHIP_LIMIT
+    )
 
 
 def rumor(liveness=Liveness.ALIVE, **changes) -> messages.Rumor:
@@ -28,16 +30,16 @@
     known = made()
     known.apply(rumor(boot=1, started=100.0), 0.0)
     back = helper.info("a", boot=2, started=98.0)
-    assert not known.hear(back, 1.0)
-    known.judge("a", Liveness.SUSPECT, 2.0)
-    assert known.hear(back, 3.0)
+    assert not known.apply_direct(back, 1.0)
+    known.mark("a", Liveness.SUSPECT, 2.0)
+    assert known.apply_direct(back, 3.0)
     assert known.member_by_name["a"].info.boot == 2
 
 
 def test_old_news_of_an_earlier_run_overrides_nothing():
     known = made()
     known.apply(rumor(boot=2, started=100.0), 0.0)
-    known.judge("a", Liveness.SUSPECT, 1.0)
+    known.mark("a", Liveness.SUSPECT, 1.0)
     assert not known.apply(rumor(boot=1, started=50.0), 2.0)
     assert known.member_by_name["a"].info.boot == 2
 
@@ -46,7 +48,7 @@
     known = made()
     known.apply(rumor(), 0.0)
     talk = gossip.Gossip(known, random.Random(1))
-    known.judge("a", Liveness.DEAD, 1.0)
+    known.mark("a", Liveness.DEAD, 1.0)
     asked = [send.address for send in talk.tick(2.0)]
     assert asked == ["a"]
 
@@ -57,7 +59,7 @@
     for number in range(10):
         info = helper.info(f"n{number}")
         known.apply(messages.Rumor(Liveness.ALIVE, info), 0.0)
-        talk.spread(info.name)
+        talk.queue_rumor(info.name)
     told = talk.tick(100.0)
     pings = [s for s in told if isinstance(s.message, messages.Ping)]
     assert len(pings) <= gossip.FAN_OUT + 1
@@ -78,17 +80,17 @@
     rng = random.Random(1)
     talk_by_name = {}
     for name, own in infos.items():
-        known = membership.Directory(own, membership.KEEP_ALL)
+        known = membership.Directory(own, membership.FULL_MEMBERSHIP_LIMIT)
         for other in infos.values():
             if other is not own:
                 known.apply(messages.Rumor(Liveness.ALIVE, other), 0.0)
         talk_by_name[name] = gossip.Gossip(known, rng)
     first = talk_by_name["x0"]
     first.directory.update_own(targets=(helper.target_info("t"),))
-    first.spread("x0")
+    first.queue_rumor("x0")
     far_by_step = []
     for step in range(400):
-        now = 10.0 + step * gossip.SPREAD_PERIOD
+        now = 10.0 + step * gossip.GOSSIP_PERIOD
         sent = [
             (name, send)
             for name, talk in talk_by_name.items()
--- a/test/test_neighbours.py
+++ b/test/test_neighbours.py
@@ -107,7 +107,7 @@
     about it changed when answers were missing."""
     found = fleet.Fleet(2)
     found.fall_silent()
-    found.run(2 * (gossip.PING_PERIOD + gossip.PONG_WAIT))
+    found.run(2 * (gossip.PING_PERIOD + gossip.PONG_TIMEOUT))
     assert found.silent == set()
 
 
@@ -118,7 +118,7 @@
     for again in (False, True):
         ping = messages.Ping(helper.info("peer"), 1, 1.0, 0, (), again)
         (pong,) = found.receive(ping, 1.0)
-        assert pong.renew is again
+        assert pong.new_connection is again
 
 
 def test_a_version_that_was_handed_over_is_told_on_in_the_same_turn():
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -255,7 +255,7 @@
         waits = []
         for count in (0, 40):
             for number in range(count):
-                one.directory.hear(helper.info(f"other-{number}"), 0.0)
+                one.directory.apply_direct(helper.info(f"other-{number}"), 0.0)
             waits.append(max(one.follower._wait() for _ in range(20)))
         assert waits[0] < registry.WAIT / 2 < waits[1]
 
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -256,7 +256,7 @@
     late = made.start("p6")
     others = [n for n in made.node_by_name.values() if n is not late]
     for node in made.rng.sample(others, 3):
-        late.directory.hear(node.directory.own, made.clock.now)
+        late.directory.apply_direct(node.directory.own, made.clock.now)
     made.run(CONTACT)
     assert know(made) == set(made.node_by_name)
 
--- a/test/test_readers.py
+++ b/test/test_readers.py
@@ -24,11 +24,12 @@
         for number in range(count)
     ]
     found = membership.Directory(
-        next(info for info in infos if info.name == own), membership.KEEP_ALL
+        next(info for info in infos if info.name == own),
+        membership.FULL_MEMBERSHIP_LIMIT,
     )
     for info in infos:
         if info.name != own:
-            found.hear(info, 0.0)
+            found.apply_direct(info, 0.0)
     return found
 
 
@@ -63,7 +64,7 @@
     found = readers.Readers(known)
     before = found._choose()
     for name in before - {"p0"}:
-        known.judge(name, messages.Liveness.DEAD, 1.0)
+        known.mark(name, messages.Liveness.DEAD, 1.0)
     assert found.count >= readers.READERS
     assert not before & {n for n in found._choose() if n != "p0"}
 
@@ -73,7 +74,7 @@
     found = readers.Readers(known)
     for number in range(90):
         if number % 5:
-            known.judge(f"p{number}", messages.Liveness.DEAD, 1.0)
+            known.mark(f"p{number}", messages.Liveness.DEAD, 1.0)
     assert found.count == 18
     assert found.own
 
--- a/test/test_silence.py
+++ b/test/test_silence.py
@@ -46,7 +46,7 @@
         0.8,
     ),
     "a silent control connection is opened anew": (
-        gossip.PING_PERIOD + gossip.PONG_WAIT + 2 * ticking.IDLE_TICK,
+        gossip.PING_PERIOD + gossip.PONG_TIMEOUT + 2 * ticking.IDLE_TICK,
         3.0,
     ),
 }
