--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -21,22 +21,22 @@
 from forklift import gossip
 from forklift import membership
 from forklift import messages
-from forklift import readers
 from forklift import rendezvous
+from forklift import store_readers
 
 # Places on the ring between a process and its watchers. Each further one halves
 # the share of processes none of whose watchers has a version.
-DISTANCES = (1, 2, 4, 8)
+RING_DISTANCES = (1, 2, 4, 8)
 # Seconds for which a version is left to the store before peers hand it on: many
 # times what the store takes to tell all, an eighth of the users' bound.
-HAND_ON_AFTER = 0.25
+PEER_FALLBACK_DELAY = 0.25
 # Seconds until an unanswered message is sent again, at first and at most; after
 # a few tries it doubles. Where one message in ten is lost, four tries in a row
 # are in vain once in a thousand. The longest is within the bound of users, so
 # that a process whose links come back is not behind for longer.
-RETRY_FIRST = 0.25
-RETRY_MOST = 2.0
-RETRY_STEADY = 3
+RETRY_INITIAL = 0.25
+RETRY_MAX = 2.0
+RETRIES_BEFORE_BACKOFF = 3
 # Versions of which it is remembered since when they were in force somewhere.
 HISTORY = 64
 _RING = "ring"
@@ -55,8 +55,8 @@
 
     def note(self, now: float) -> None:
         """It was sent."""
-        doubled = max(0, self.count - RETRY_STEADY)
-        pause = min(RETRY_MOST, RETRY_FIRST * 2**doubled)
+        doubled = max(0, self.count - RETRIES_BEFORE_BACKOFF)
+        pause = min(RETRY_MAX, RETRY_INITIAL * 2**doubled)
         self._next = now + pause
         self.count += 1
 
@@ -100,7 +100,7 @@
         self,
         directory: membership.Directory,
         in_force: catalog.InForce,
-        reading: readers.Readers,
+        reading: store_readers.StoreReaders,
     ):
         self._directory = directory
         self._reading = reading
@@ -128,15 +128,18 @@
         sends += self._hand_on(now)
         return sends + self._ask(now)
 
-    def active(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Whether versions are being handed on, or were a moment ago."""
         if self._holder_by_name or self._tries_by_name:
             return True
         if self._told != self._version:
             return True
-        return bool(self._born) and now - self._born[-1][1] < 2 * HAND_ON_AFTER
+        return (
+            bool(self._born)
+            and now - self._born[-1][1] < 2 * PEER_FALLBACK_DELAY
+        )
 
-    def heard(
+    def observe(
         self, info: messages.ProcessInfo, now: float
     ) -> list[gossip.Send]:
         """A process described itself, in a heartbeat or when it joined."""
@@ -172,7 +175,7 @@
             return [gossip.Send(address, self._own(now), message.is_retry)]
         return []
 
-    def offered(self, offer: messages.CatalogOffer, now: float) -> None:
+    def record_offer(self, offer: messages.CatalogOffer, now: float) -> None:
         """A peer hands its version over; it is taken right after."""
         holder = _Holder(offer.sender.control, offer.version, now - offer.age)
         self._newer(offer.sender.name, holder)
@@ -216,7 +219,7 @@
     def _hand_on(self, now: float) -> list[gossip.Send]:
         """Tells those that it watches, until they confirm."""
         sends = []
-        for name in self.watched():
+        for name in self.successors():
             left_for = self._left_to_store(name)
             if not self._late(self._said(name), now, left_for):
                 self._tries_by_name.pop(name, None)
@@ -296,7 +299,7 @@
         return said.version
 
     def _late(
-        self, version: int, now: float, after: float = HAND_ON_AFTER
+        self, version: int, now: float, after: float = PEER_FALLBACK_DELAY
     ) -> bool:
         """Whether one with a version should have had a newer one by now.
 
@@ -318,7 +321,7 @@
 
         It tells only those that wait there.
         """
-        return HAND_ON_AFTER if self._reading.includes(name) else 0.0
+        return PEER_FALLBACK_DELAY if self._reading.includes(name) else 0.0
 
     def _age(self, now: float) -> float:
         """Seconds for which the version in force has been known anywhere."""
@@ -329,7 +332,7 @@
 
     # The ring.
 
-    def watched(self) -> list[str]:
+    def successors(self) -> list[str]:
         """Processes to which this one hands versions on, the nearest first."""
         return self._at_distances(1)
 
@@ -341,7 +344,7 @@
             self._forget()
         size = len(self._ring)
         own = self._ring.index(self._directory.own.name)
-        places = [direction * far for far in DISTANCES if far < size]
+        places = [direction * far for far in RING_DISTANCES if far < size]
         return [self._ring[(own + place) % size] for place in places]
 
     def _forget(self) -> None:
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -18,7 +18,7 @@
 from forklift import messages
 from forklift import quarantine as quarantines
 from forklift import quarantine_sync
-from forklift import readers
+from forklift import store_readers
 from forklift.shell import beside as besides
 from forklift.shell import clock as clocks
 from forklift.shell import keeping
@@ -58,7 +58,7 @@
         self.quarantine_sync = quarantine_sync.QuarantineSync(
             self.directory, quarantine, self.gossip.peers, rng
         )
-        self.readers = readers.Readers(self.directory)
+        self.readers = store_readers.StoreReaders(self.directory)
         self.dissemination = dissemination.Dissemination(
             self.directory, in_force, self.readers
         )
@@ -118,7 +118,7 @@
         return (
             self.gossip.has_pending_rumors
             or self.quarantine_sync.has_changes
-            or self.dissemination.active(now)
+            or self.dissemination.is_active(now)
         )
 
     def paused(self) -> None:
@@ -214,7 +214,7 @@
         if isinstance(sender, messages.ProcessInfo):
             self.met = True
             self.newest_heard = max(self.newest_heard or 0, sender.config)
-            self._send(self.dissemination.heard(sender, now))
+            self._send(self.dissemination.observe(sender, now))
         self._learn()
 
     def _remind(self, peer: messages.ProcessInfo) -> None:
@@ -247,7 +247,7 @@
             peer=offer.sender.name,
             age=offer.age,
         )
-        self.dissemination.offered(offer, now)
+        self.dissemination.record_offer(offer, now)
         self._on_record(zlib.decompress(offer.compressed), "peer")
         self._send(self.dissemination.tick(now))
 
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -184,7 +184,7 @@
             self._rng,
             self.configuring.record,
             lambda: self.neighbours.readers.count,
-            lambda: self.neighbours.readers.own,
+            lambda: self.neighbours.readers.includes_self,
         )
         self.links = links.Links(
             self.directory,
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -145,7 +145,7 @@
         """The store takes a version and tells those that wait for one."""
         self.acknowledged[version] = self.clock.now
         for node in self.node_by_name.values():
-            if not node.deaf and node.neighbours.readers.own:
+            if not node.deaf and node.neighbours.readers.includes_self:
                 self._at(
                     self.rng.uniform(0.004, 0.02),
                     lambda node=node: node.take(str(version).encode()),
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -14,8 +14,8 @@
 from forklift import gossip
 from forklift import membership
 from forklift import messages
-from forklift import readers
 from forklift import routing
+from forklift import store_readers
 from test import fleet
 from test import helper
 
@@ -130,7 +130,7 @@
     found.run(5.0)
     found.fall_silent()
     found.cut.clear()
-    found.run(dissemination.RETRY_MOST + fleet.TICK)
+    found.run(dissemination.RETRY_MAX + fleet.TICK)
     assert found.node_by_name["p3"].version == 2
 
 
@@ -141,7 +141,7 @@
     found.publish(2)
     found.run(5.0)
     sent = found.count_by_kind - before
-    told = PROCESSES * len(dissemination.DISTANCES)
+    told = PROCESSES * len(dissemination.RING_DISTANCES)
     assert sent["CatalogVersion"] == told
     assert sent["CatalogRequest"] == sent["CatalogOffer"] == 0
 
@@ -156,7 +156,9 @@
         )
         self.in_force = catalog.InForce()
         self.decisions = dissemination.Dissemination(
-            self.directory, self.in_force, readers.Readers(self.directory)
+            self.directory,
+            self.in_force,
+            store_readers.StoreReaders(self.directory),
         )
         for name in others:
             self.hear(name, config=version)
@@ -211,19 +213,19 @@
 def test_what_is_not_confirmed_is_sent_again_over_new_connections():
     rig = Rig("peer")
     rig.take(2)
-    assert rig.tick(dissemination.HAND_ON_AFTER - 0.01) == []
+    assert rig.tick(dissemination.PEER_FALLBACK_DELAY - 0.01) == []
     (first,) = rig.tick(0.01)
     assert (first.message.confirm, first.new_connection) == (True, False)
     pauses = []
-    steady = dissemination.RETRY_STEADY
+    steady = dissemination.RETRIES_BEFORE_BACKOFF
     for _ in range(steady + 6):
         before = rig.now
         (again,) = rig.next_sends()
         assert again.new_connection and again.message.is_retry
         pauses.append(rig.now - before)
     for pause in pauses[:steady]:
-        assert pause == pytest.approx(dissemination.RETRY_FIRST, abs=0.06)
-    assert pauses[-1] == pytest.approx(dissemination.RETRY_MOST, abs=0.06)
+        assert pause == pytest.approx(dissemination.RETRY_INITIAL, abs=0.06)
+    assert pauses[-1] == pytest.approx(dissemination.RETRY_MAX, abs=0.06)
     rig.told("peer", 2)
     assert rig.tick(60.0) == []
 
@@ -269,20 +271,23 @@
 def test_a_version_that_is_old_already_is_asked_for_at_once():
     """The store had its time while it was handed from peer to peer."""
     rig = Rig()
-    sends = rig.told("peer", 2, age=dissemination.HAND_ON_AFTER)
+    sends = rig.told("peer", 2, age=dissemination.PEER_FALLBACK_DELAY)
     assert kinds(sends) == ["CatalogRequest"]
 
 
 def test_a_version_that_is_old_already_is_handed_on_at_once():
     rig = Rig("peer")
     offer = messages.CatalogOffer(
-        messages.Sender("other", "other"), 2, b"", dissemination.HAND_ON_AFTER
+        messages.Sender("other", "other"),
+        2,
+        b"",
+        dissemination.PEER_FALLBACK_DELAY,
     )
-    rig.decisions.offered(offer, rig.now)
+    rig.decisions.record_offer(offer, rig.now)
     sends = rig.take(2)
     confirming = [send for send in sends if send.message.confirm]
     assert [send.address for send in confirming] == ["peer"]
-    assert confirming[0].message.age == dissemination.HAND_ON_AFTER
+    assert confirming[0].message.age == dissemination.PEER_FALLBACK_DELAY
 
 
 def test_a_peer_that_has_ever_newer_versions_is_asked_in_time():
@@ -291,7 +296,7 @@
     asked = []
     for version in range(2, 12):
         asked += rig.told("peer", version)
-        asked += rig.tick(dissemination.HAND_ON_AFTER / 2)
+        asked += rig.tick(dissemination.PEER_FALLBACK_DELAY / 2)
     assert asked
 
 
@@ -315,9 +320,9 @@
         for name in names - {own}:
             directory.apply_direct(helper.info(name), 0.0)
         decisions = dissemination.Dissemination(
-            directory, catalog.InForce(), readers.Readers(directory)
+            directory, catalog.InForce(), store_readers.StoreReaders(directory)
         )
-        watched.add(decisions.watched()[0])
+        watched.add(decisions.successors()[0])
     assert watched == names
 
 
@@ -330,7 +335,7 @@
     if delayed:
         late = helper.info("peer", boot=999, config=2, started=999.0)
         rig.directory.apply_direct(late, rig.now)
-        rig.decisions.heard(late, rig.now)
+        rig.decisions.observe(late, rig.now)
     assert kinds(rig.tick(60.0)) == ["CatalogVersion"]
 
 
--- a/test/test_neighbours.py
+++ b/test/test_neighbours.py
@@ -75,7 +75,7 @@
     rig.publish(2)
     rig.neighbours.tick(rig.clock.monotonic())
     assert rig.hear(config=1) == []
-    rig.clock.now += dissemination.HAND_ON_AFTER
+    rig.clock.now += dissemination.PEER_FALLBACK_DELAY
     assert rig.hear(config=2) == []
     assert rig.hear(config=1) == [2]
     assert rig.ask(config=2) == []
@@ -95,7 +95,7 @@
     rig.publish(1)
     told = []
     for version in range(2, 12):
-        rig.clock.now += dissemination.HAND_ON_AFTER / 2
+        rig.clock.now += dissemination.PEER_FALLBACK_DELAY / 2
         rig.publish(version)
         rig.neighbours.tick(rig.clock.monotonic())
         told += rig.hear(config=1)
--- a/test/test_silence.py
+++ b/test/test_silence.py
@@ -27,11 +27,11 @@
     "a version reaches who the store leaves out": (
         # It is left to the store; the first offer is lost, the next goes over a
         # new connection; what is asked for is lost too, and asked again.
-        dissemination.HAND_ON_AFTER
+        dissemination.PEER_FALLBACK_DELAY
         + TICK
-        + dissemination.RETRY_FIRST
+        + dissemination.RETRY_INITIAL
         + TICK
-        + dissemination.RETRY_FIRST
+        + dissemination.RETRY_INITIAL
         + TICK
         + 4 * WAY,
         2.0,
--- a/test/test_readers.py
+++ b/test/test_store_readers.py
@@ -7,7 +7,7 @@
 
 from forklift import membership
 from forklift import messages
-from forklift import readers
+from forklift import store_readers
 from forklift.shell import registry
 from test import fleet
 from test import helper
@@ -35,48 +35,53 @@
 
 @pytest.mark.parametrize("count", [1, 2, 21, 31])
 def test_a_small_fleet_reads_as_a_whole(count):
-    found = readers.Readers(directory(count))
+    found = store_readers.StoreReaders(directory(count))
     assert found.count == count
-    assert found.own
+    assert found.includes_self
 
 
 def test_in_a_large_fleet_some_of_each_failure_domain_read():
-    found = readers.Readers(directory(235))
-    assert readers.READERS <= found.count <= readers.READERS + 10
+    found = store_readers.StoreReaders(directory(235))
+    assert (
+        store_readers.MIN_READERS
+        <= found.count
+        <= store_readers.MIN_READERS + 10
+    )
     for domain in range(5):
         reading = [
             number
             for number in range(domain, 235, 5)
             if found.includes(f"p{number}")
         ]
-        assert len(reading) >= readers.IN_DOMAIN
+        assert len(reading) >= store_readers.READERS_PER_DOMAIN
 
 
 def test_all_find_the_same_readers():
     chosen = [
-        readers.Readers(directory(90, own))._choose() for own in ("p0", "p77")
+        store_readers.StoreReaders(directory(90, own))._choose()
+        for own in ("p0", "p77")
     ]
     assert chosen[0] == chosen[1]
 
 
 def test_others_take_the_place_of_readers_that_are_gone():
     known = directory(90)
-    found = readers.Readers(known)
+    found = store_readers.StoreReaders(known)
     before = found._choose()
     for name in before - {"p0"}:
         known.mark(name, messages.Liveness.DEAD, 1.0)
-    assert found.count >= readers.READERS
+    assert found.count >= store_readers.MIN_READERS
     assert not before & {n for n in found._choose() if n != "p0"}
 
 
 def test_a_failure_domain_that_is_cut_off_has_readers_of_its_own():
     known = directory(90)
-    found = readers.Readers(known)
+    found = store_readers.StoreReaders(known)
     for number in range(90):
         if number % 5:
             known.mark(f"p{number}", messages.Liveness.DEAD, 1.0)
     assert found.count == 18
-    assert found.own
+    assert found.includes_self
 
 
 # How the others have each version.
@@ -96,7 +101,7 @@
 def test_most_of_a_large_fleet_does_not_read():
     found = settled(1)
     nodes = found.node_by_name.values()
-    assert sum(one.neighbours.readers.own for one in nodes) < MANY / 3
+    assert sum(one.neighbours.readers.includes_self for one in nodes) < MANY / 3
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -126,7 +131,7 @@
     reading = [
         name
         for name, node in found.node_by_name.items()
-        if node.neighbours.readers.own
+        if node.neighbours.readers.includes_self
     ]
     for name in found.rng.sample(reading, len(reading) * 3 // 4):
         del found.node_by_name[name]
