--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Share:
+class WeightedService:
     """One service of a route that is split by weight.
 
     Attributes:
@@ -53,20 +53,20 @@
     name: str
     host: str
     prefix: str
-    shares: tuple[Share, ...]
+    weighted_services: tuple[WeightedService, ...]
     idempotent: bool
     timeout: float
-    aim: float
+    objective: float
     priority: int
     attempts: int
-    is_open: bool = False
+    allows_anonymous: bool = False
 
     def pick(self, rng: random.Random) -> str:
         """The service of one request, drawn by weight."""
-        if len(self.shares) == 1:
-            return self.shares[0].service
-        weights = [share.weight for share in self.shares]
-        return rng.choices(self.shares, weights)[0].service
+        if len(self.weighted_services) == 1:
+            return self.weighted_services[0].service
+        weights = [share.weight for share in self.weighted_services]
+        return rng.choices(self.weighted_services, weights)[0].service
 
 
 @dataclasses.dataclass(frozen=True)
@@ -80,8 +80,8 @@
     """
 
     name: str
-    health: str
-    connections: int
+    health_path: str
+    max_connections: int
 
 
 @dataclasses.dataclass(frozen=True)
@@ -97,8 +97,8 @@
 
     header_bytes: int
     body_bytes: int
-    head: float
-    idle: float
+    head_timeout: float
+    idle_timeout: float
 
 
 # Before any catalog is known; the usual bounds of HTTP servers.
@@ -128,7 +128,7 @@
     with_key_digests: Callable[[bytes], bytes] = bytes
 
     @property
-    def limits_callers(self) -> bool:
+    def has_rate_limits(self) -> bool:
         """Whether any organisation may send only so much."""
         return self.callers is not None and self.callers.any_limited
 
@@ -144,28 +144,28 @@
         return self.callers.by_name.get(name)
 
     @functools.cached_property
-    def least_aim_by_service(self) -> dict[str, float]:
+    def shortest_objective_by_service(self) -> dict[str, float]:
         """The shortest latency objective of each service's routes, seconds."""
         least: dict[str, float] = {}
         for route in self.routes:
-            for share in route.shares:
+            for share in route.weighted_services:
                 known = least.get(share.service, math.inf)
-                least[share.service] = min(known, route.aim)
+                least[share.service] = min(known, route.objective)
         return least
 
 
-NOTHING = Catalog(0, routing.Table(()), {}, DEFAULT_LIMITS)
+EMPTY = Catalog(0, routing.Table(()), {}, DEFAULT_LIMITS)
 
 
-class InForce:
+class ActiveCatalog:
     """The catalog in force in this process."""
 
     def __init__(self):
-        self.catalog = NOTHING
+        self.catalog = EMPTY
         self.since = 0.0
 
     @property
-    def known(self) -> bool:
+    def loaded(self) -> bool:
         """Whether any catalog is in force."""
         return self.catalog.version > 0
 
--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -99,13 +99,13 @@
     def __init__(
         self,
         directory: membership.Directory,
-        in_force: catalog.InForce,
+        active_catalog: catalog.ActiveCatalog,
         reading: store_readers.StoreReaders,
     ):
         self._directory = directory
         self._reading = reading
-        self._in_force = in_force
-        self._told = in_force.catalog.version
+        self._active_catalog = active_catalog
+        self._told = active_catalog.catalog.version
         # Versions, and since when each has been in force at any process that
         # this one heard of, the last ones.
         self._born: collections.deque[tuple[int, float]] = collections.deque(
@@ -120,7 +120,7 @@
 
     @property
     def _version(self) -> int:
-        return self._in_force.catalog.version
+        return self._active_catalog.catalog.version
 
     def tick(self, now: float) -> list[gossip.Send]:
         """Lets time pass."""
@@ -238,7 +238,7 @@
     ) -> list[gossip.Send]:
         if request.version >= self._version:
             return []
-        current = self._in_force.catalog
+        current = self._active_catalog.catalog
         offer = messages.CatalogOffer(
             messages.sender_of(self._directory.own),
             current.version,
--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -148,7 +148,7 @@
         self.latencies = latency.RouteLatencies()
         self.response_sizes = response_sizes.ResponseSizes()
         # The shortest latency objective of each service's routes, seconds.
-        self.least_aim_by_service: dict[str, float] = {}
+        self.shortest_objective_by_service: dict[str, float] = {}
         # Cost of a kilobyte between failure domains, as a part of a request.
         self.far_cost = far_cost
         self._name = name
@@ -370,7 +370,9 @@
         if not spent.spend(now, self.process_count, share):
             return False
         for name, group in self._group_by_service.items():
-            callable_ = self.least_aim_by_service.get(name, 0.0) < objective
+            callable_ = (
+                self.shortest_objective_by_service.get(name, 0.0) < objective
+            )
             if callable_ and name != service:
                 group.budget.charge_calls(now, self._bounds.calls)
         return True
--- a/forklift/organisations.py
+++ b/forklift/organisations.py
@@ -87,7 +87,7 @@
                     raise DuplicateKey(other.name, one.name)
 
     def identify(
-        self, keys: Iterable[bytes], is_open: bool
+        self, keys: Iterable[bytes], allows_anonymous: bool
     ) -> Organisation | None:
         """Whose request it is; None where it needs no organisation.
 
@@ -96,13 +96,13 @@
 
         Args:
             keys: All keys that the request carries.
-            is_open: Whether its route is open to all.
+            allows_anonymous: Whether its route is open to all.
 
         Raises:
             UnknownCaller: Nobody's.
         """
         keys = tuple(keys)
-        if not keys and is_open:
+        if not keys and allows_anonymous:
             return None
         found = self._by_digest.get(digest(keys[0])) if len(keys) == 1 else None
         if found is None:
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -87,8 +87,8 @@
 class _Limits(_Wire):
     max_header_bytes: int = catalog.DEFAULT_LIMITS.header_bytes
     max_body_bytes: int = catalog.DEFAULT_LIMITS.body_bytes
-    header_timeout_ms: float = catalog.DEFAULT_LIMITS.head * MILLI
-    idle_timeout_ms: float = catalog.DEFAULT_LIMITS.idle * MILLI
+    header_timeout_ms: float = catalog.DEFAULT_LIMITS.head_timeout * MILLI
+    idle_timeout_ms: float = catalog.DEFAULT_LIMITS.idle_timeout * MILLI
 
 
 class _Record(_Wire):
@@ -185,15 +185,18 @@
 def _route(
     name: str, found: _Route, services: dict[str, catalog.Service]
 ) -> catalog.Route:
-    shares = tuple(
-        catalog.Share(part.service, part.weight)
+    weighted_services = tuple(
+        catalog.WeightedService(part.service, part.weight)
         for part in found.weighted_clusters
     )
     if found.service:
-        shares = (catalog.Share(found.service, 1.0),)
-    if not shares or sum(share.weight for share in shares) <= 0:
+        weighted_services = (catalog.WeightedService(found.service, 1.0),)
+    if (
+        not weighted_services
+        or sum(share.weight for share in weighted_services) <= 0
+    ):
         raise InvalidRecord(f"route {name} leads to no service")
-    for share in shares:
+    for share in weighted_services:
         if share.service not in services:
             raise InvalidRecord(
                 f"route {name} names no service {share.service}"
@@ -204,11 +207,11 @@
         name=name,
         host=found.host.lower(),
         prefix=found.path_prefix,
-        shares=shares,
+        weighted_services=weighted_services,
         idempotent=found.kind == _REPEATABLE,
         timeout=found.timeout_ms / MILLI,
-        aim=found.target_latency_ms / MILLI,
+        objective=found.target_latency_ms / MILLI,
         priority=found.priority,
         attempts=found.retry_attempts,
-        is_open=found.public,
+        allows_anonymous=found.public,
     )
--- a/forklift/shell/announced.py
+++ b/forklift/shell/announced.py
@@ -38,14 +38,14 @@
         self,
         read: settings.Settings,
         names: dialect.Dialect,
-        in_force: catalog.InForce,
+        active_catalog: catalog.ActiveCatalog,
         beside: besides.Beside,
         clock: clocks.SystemClock,
         on_change: Callable[[], None],
     ):
         self.settings = read
         self._names = names
-        self._in_force = in_force
+        self._active_catalog = active_catalog
         self._beside = beside
         self._clock = clock
         self._on_change = on_change
@@ -125,9 +125,13 @@
 
     def _is_served(self, service: str) -> bool:
         """Whether a service is known; any is before there are some."""
-        known = self._in_force.catalog.services_by_name
+        known = self._active_catalog.catalog.services_by_name
         own = self.settings.platform.service
-        return not self._in_force.known or service in known or service == own
+        return (
+            not self._active_catalog.loaded
+            or service in known
+            or service == own
+        )
 
     def _succeed(
         self, before: str, name: str, word: announcement.HeartbeatKind
@@ -168,7 +172,7 @@
         for name, site in list(self._beside.site_by_target.items()):
             service = current.services_by_name.get(site.controller.service)
             if service is not None:
-                site.pool.most = service.connections
+                site.pool.most = service.max_connections
             elif not self._is_served(site.controller.service):
                 self._remove(name)
                 self._on_change()
@@ -196,12 +200,16 @@
         if not own.target or not own.service:
             return
         for _ in range(LOOKS_BESIDE):
-            while not self._in_force.known:
+            while not self._active_catalog.loaded:
                 await asyncio.sleep(CONFIGURATION_POLL)
-            service = self._in_force.catalog.services_by_name.get(own.service)
+            service = self._active_catalog.catalog.services_by_name.get(
+                own.service
+            )
             if self._beside.site_by_target or self.stopping or service is None:
                 return
-            found = await probe.ask(own.target, service.health, self._names)
+            found = await probe.ask(
+                own.target, service.health_path, self._names
+            )
             usable = found is not None and found.target and found.slots
             if usable and found.well:
                 self._found_beside(found)
@@ -235,8 +243,10 @@
                 # The address has another target now.
                 self._crashed(other)
                 self.recalled(other)
-        service = self._in_force.catalog.services_by_name.get(said.service)
-        most = service.connections if service else DEFAULT_CONNECTIONS
+        service = self._active_catalog.catalog.services_by_name.get(
+            said.service
+        )
+        most = service.max_connections if service else DEFAULT_CONNECTIONS
         site = besides.Site(
             said.incarnation.target,
             admission.Controller(name, said.service, said.slots),
--- a/forklift/shell/configuring.py
+++ b/forklift/shell/configuring.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         decode: Callable[[bytes], catalog.Catalog],
-        in_force: catalog.InForce,
+        active_catalog: catalog.ActiveCatalog,
         clock: clocks.SystemClock,
         newest_heard: Callable[[], int | None],
         alone: Callable[[], bool],
@@ -34,7 +34,7 @@
 
         Args:
             decode: Decodes a record.
-            in_force: What is in force in this process.
+            active_catalog: What is in force in this process.
             clock: Time.
             newest_heard: The newest version that a peer said to have; None
                 where nobody said.
@@ -43,7 +43,7 @@
                 source.
         """
         self._decode = decode
-        self._in_force = in_force
+        self._active_catalog = active_catalog
         self._clock = clock
         self._newest_heard = newest_heard
         self._alone = alone
@@ -82,7 +82,7 @@
         It may have come back from a copy while this process starts, so what
         others have goes first, for a moment.
         """
-        if self._in_force.known:
+        if self._active_catalog.loaded:
             return False
         if self._clock.monotonic() - self._started_at >= HEARS_WITHIN:
             return False
@@ -92,5 +92,5 @@
         return not self._alone()
 
     def _take(self, found: catalog.Catalog, source: str) -> None:
-        if self._in_force.offer(found, source, self._clock.monotonic()):
+        if self._active_catalog.offer(found, source, self._clock.monotonic()):
             self._on_taken(found, source)
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -178,10 +178,14 @@
     def check(self, limits: catalogs.CallerLimits, now: float) -> None:
         """Ends the connection where it was idle or silent for too long."""
         head, idle = self._head_since, self._idle_since
-        if head is not None and now - head > limits.head:
+        if head is not None and now - head > limits.head_timeout:
             self._head_since = None
             self.connection.interrupt(_late_head())
-        elif idle is not None and now - idle > limits.idle and not self._asked:
+        elif (
+            idle is not None
+            and now - idle > limits.idle_timeout
+            and not self._asked
+        ):
             self.connection.close()
 
     def close_if_idle(self) -> None:
@@ -411,7 +415,7 @@
             idempotent=route.idempotent,
             origin=self._desk.origin(),
             priority=found.priority,
-            soft_deadline=now + route.aim,
+            soft_deadline=now + route.objective,
             attempts=route.attempts,
             fingerprint=self._fingerprint(event, headers, body, caller),
             organisation=caller,
--- a/forklift/shell/limiting.py
+++ b/forklift/shell/limiting.py
@@ -41,7 +41,7 @@
         self,
         directory: membership.Directory,
         bounds: rate_limits.Bounds,
-        in_force: catalog.InForce,
+        active_catalog: catalog.ActiveCatalog,
         counted: Callable[[], bool],
         send: Callable[[str, messages.Control], object],
         clock: clocks.SystemClock,
@@ -52,7 +52,7 @@
         Args:
             directory: Who is there.
             bounds: What may be run beyond limits.
-            in_force: Names the organisations and their limits.
+            active_catalog: Names the organisations and their limits.
             counted: Whether the number of processes is known.
             send: Hands a message to the network.
             clock: Time.
@@ -61,12 +61,12 @@
         self.limiter = limiters.Limiter(
             directory,
             bounds,
-            lambda name: in_force.catalog.organisation(name),
-            lambda: in_force.catalog.limits_callers,
+            lambda name: active_catalog.catalog.organisation(name),
+            lambda: active_catalog.catalog.has_rate_limits,
             counted,
             self._tokens,
         )
-        self._in_force = in_force
+        self._active_catalog = active_catalog
         self._send_to = send
         self._clock = clock
         self._rng = rng
@@ -96,7 +96,7 @@
     def tell(self, request_id: str, organisation: str, wait: float) -> None:
         """Logs by which limit a request was refused."""
         now = self._clock.monotonic()
-        current = self._in_force.catalog
+        current = self._active_catalog.catalog
         limit = current.organisation(organisation)
         allowed = self.limiter.quota
         _log.info(
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -41,7 +41,7 @@
         own: messages.ProcessInfo,
         rng: random.Random,
         clock: clocks.SystemClock,
-        in_force: catalog.InForce,
+        active_catalog: catalog.ActiveCatalog,
         balancer: load_balancer.LoadBalancer,
         beside: besides.Beside,
         send: Callable[[str, messages.Control, bool], object],
@@ -60,7 +60,7 @@
         )
         self.readers = store_readers.StoreReaders(self.directory)
         self.dissemination = dissemination.Dissemination(
-            self.directory, in_force, self.readers
+            self.directory, active_catalog, self.readers
         )
         self.met = False
         # Set where the store lost what this process had written.
@@ -72,7 +72,7 @@
         self._counted = False
         self._rng = rng
         self._clock = clock
-        self._in_force = in_force
+        self._active_catalog = active_catalog
         self._balancer = balancer
         self._beside = beside
         self._send_to = send
@@ -239,7 +239,7 @@
 
     def _take(self, offer: messages.CatalogOffer, now: float) -> None:
         """A peer hands its configuration over; it is told on at once."""
-        if offer.version <= self._in_force.catalog.version:
+        if offer.version <= self._active_catalog.catalog.version:
             return
         _log.info(
             "configuration_handed_on",
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -97,10 +97,10 @@
         # Of its stop, once that was asked for.
         self.bounds: stopping.Bounds | None = None
         self.counters = counters.Counters()
-        self.in_force = catalog.InForce()
+        self.active_catalog = catalog.ActiveCatalog()
         self.configuring = configuring.Configuring(
             decode,
-            self.in_force,
+            self.active_catalog,
             self.clock,
             lambda: self.neighbours.newest_heard,
             lambda: self.neighbours.alone,
@@ -142,7 +142,7 @@
         self.announced = announced.Announced(
             self.settings,
             self._names,
-            self.in_force,
+            self.active_catalog,
             self.beside,
             self.clock,
             lambda: self.neighbours.tell_all(),
@@ -160,7 +160,7 @@
             self._describe_first(),
             self._rng,
             self.clock,
-            self.in_force,
+            self.active_catalog,
             self.balancer,
             self.beside,
             self.control.send,
@@ -173,7 +173,7 @@
         self.limiting = limiting.Limiting(
             self.directory,
             _limit_bounds(self.settings),
-            self.in_force,
+            self.active_catalog,
             lambda: self.neighbours.counted,
             self.control.send,
             self.clock,
@@ -208,9 +208,9 @@
         self.ingress = ingress.Ingress(
             ingress.Desk(
                 dialect=self._names,
-                limits=lambda: self.in_force.catalog.limits,
+                limits=lambda: self.active_catalog.catalog.limits,
                 find=self._find,
-                known=lambda: self.in_force.known,
+                known=lambda: self.active_catalog.loaded,
                 handle=self._handle,
                 next_seq=self.forwarder.next_seq,
                 on_result=self._on_result,
@@ -346,7 +346,7 @@
 
     def ready(self) -> bool:
         """Whether callers should be sent here."""
-        if self.stopping or not self.in_force.known:
+        if self.stopping or not self.active_catalog.loaded:
             return False
         age = self.clock.monotonic() - self._started_at
         return self.neighbours.met or age >= READY_ALONE
@@ -377,7 +377,9 @@
         # Its watchers are told at once.
         self.ticker.nudge(0.0)
         self.announced.follow(found)
-        self.balancer.least_aim_by_service = found.least_aim_by_service
+        self.balancer.shortest_objective_by_service = (
+            found.shortest_objective_by_service
+        )
         self.directory.update_own(config=found.version)
 
     async def _handle(
@@ -397,13 +399,13 @@
     def _find(
         self, host: str, path: str, keys: tuple[bytes, ...]
     ) -> ingress.Found | None:
-        current = self.in_force.catalog
+        current = self.active_catalog.catalog
         route = current.routes.find(host, path)
         if route is None:
             return None
         caller = None
         if current.callers is not None:
-            caller = current.callers.identify(keys, route.is_open)
+            caller = current.callers.identify(keys, route.allows_anonymous)
         return ingress.Found(route, route.pick(self._rng), caller)
 
     def _evidence(self) -> None:
@@ -619,7 +621,7 @@
         for site in self.beside.site_by_target.values():
             load = site.controller.load(now)
             usable = load.state in _ASKS_FOR_WORK
-            if usable and load.idle > IDLE_FOR and self.in_force.known:
+            if usable and load.idle > IDLE_FOR and self.active_catalog.loaded:
                 self.neighbours.ask_for_work(site.controller.name, load)
 
     def _look_beside(self, now: float) -> None:
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -15,7 +15,7 @@
         proxy.directory.own.name,
         forklift.VERSION,
         proxy.ready(),
-        proxy.in_force.catalog.version,
+        proxy.active_catalog.catalog.version,
         proxy.policy.name,
         _targets(proxy),
         _processes(proxy),
@@ -35,7 +35,7 @@
         requests,
         {
             service: proxy.balancer.retries_refused(service)
-            for service in proxy.in_force.catalog.services_by_name
+            for service in proxy.active_catalog.catalog.services_by_name
         },
         {"all": proxy.forwarder.sends, "repeats": proxy.forwarder.repeats},
         proxy.running(),
@@ -52,7 +52,7 @@
     now = proxy.clock.monotonic()
     found = []
     for name, use in quota.usage_by_organisation.items():
-        limit = proxy.in_force.catalog.organisation(name)
+        limit = proxy.active_catalog.catalog.organisation(name)
         found.append(
             report.OrganisationUse(
                 name,
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -181,7 +181,7 @@
         self.gauge(
             "forklift.config.version",
             "Version of the configuration in force",
-            lambda: [(proxy.in_force.catalog.version, {})],
+            lambda: [(proxy.active_catalog.catalog.version, {})],
         )
         self.gauge(
             "forklift.peers",
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -36,7 +36,7 @@
         self.fleet = fleet
         self.name = name
         self.deaf = False
-        self.in_force = catalog.InForce()
+        self.active_catalog = catalog.ActiveCatalog()
         self.quarantine = quarantine.Quarantine()
         rng = random.Random(boot)
         self.neighbours = neighbours.Neighbours(
@@ -48,7 +48,7 @@
             ),
             rng,
             fleet.clock,
-            self.in_force,
+            self.active_catalog,
             load_balancer.LoadBalancer(
                 name,
                 "d",
@@ -71,7 +71,7 @@
     @property
     def version(self) -> int:
         """The version in force here."""
-        return self.in_force.catalog.version
+        return self.active_catalog.catalog.version
 
     def take(self, record: bytes, source: str = "store") -> None:
         """A record of the configuration was read."""
@@ -79,7 +79,7 @@
             int(record), routing.Table(()), {}, catalog.DEFAULT_LIMITS, record
         )
         now = self.fleet.clock.now
-        if self.in_force.offer(found, source, now):
+        if self.active_catalog.offer(found, source, now):
             self.directory.update_own(config=found.version)
             self.fleet.taken[self.name, found.version] = now
             self.fleet.tick_in(self, 0.0)
--- a/test/processes.py
+++ b/test/processes.py
@@ -96,7 +96,7 @@
 
     def meets(self) -> bool:
         return all(
-            one.in_force.known
+            one.active_catalog.loaded
             and len(one.balancer.views("s")) == len(self.targets)
             for one in self.proxies
         )
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -154,10 +154,10 @@
         self.directory = membership.Directory(
             helper.info("own"), membership.FULL_MEMBERSHIP_LIMIT
         )
-        self.in_force = catalog.InForce()
+        self.active_catalog = catalog.ActiveCatalog()
         self.decisions = dissemination.Dissemination(
             self.directory,
-            self.in_force,
+            self.active_catalog,
             store_readers.StoreReaders(self.directory),
         )
         for name in others:
@@ -174,7 +174,7 @@
         found = catalog.Catalog(
             version, routing.Table(()), {}, catalog.DEFAULT_LIMITS, b"record"
         )
-        self.in_force.offer(found, "store", self.now)
+        self.active_catalog.offer(found, "store", self.now)
         return self.tick()
 
     def tick(self, after: float = 0.0) -> list[gossip.Send]:
@@ -320,7 +320,9 @@
         for name in names - {own}:
             directory.apply_direct(helper.info(name), 0.0)
         decisions = dissemination.Dissemination(
-            directory, catalog.InForce(), store_readers.StoreReaders(directory)
+            directory,
+            catalog.ActiveCatalog(),
+            store_readers.StoreReaders(directory),
         )
         watched.add(decisions.successors()[0])
     assert watched == names
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -20,7 +20,7 @@
 
 LIMITS = catalog.CallerLimits(1024, 100, 10.0, 10.0)
 ROUTE = catalog.Route(
-    "r", "h", "/a/", (catalog.Share("s", 1.0),), True, 5.0, 1.0, 0, 2
+    "r", "h", "/a/", (catalog.WeightedService("s", 1.0),), True, 5.0, 1.0, 0, 2
 )
 
 
@@ -211,7 +211,7 @@
         await helper.until(
             lambda: any(s._head_since for s in rig.ingress._sessions)
         )
-        rig.ingress.tick(rig.clock.now + LIMITS.head + 1)
+        rig.ingress.tick(rig.clock.now + LIMITS.head_timeout + 1)
         assert (await rig.answer())[0] == 408
         assert await rig.reader.read() == b""
 
@@ -224,7 +224,7 @@
         rig.clock.now += 5.0
         rig.ingress.tick(rig.clock.now)
         assert rig.ingress.connections == 1
-        rig.limits = dataclasses.replace(LIMITS, idle=3.0)
+        rig.limits = dataclasses.replace(LIMITS, idle_timeout=3.0)
         rig.ingress.tick(rig.clock.now)
         assert await rig.reader.read() == b""
 
@@ -325,7 +325,7 @@
                 rig.ingress.stopping = True
                 rig.ingress.close_idle()
             else:
-                rig.ingress.tick(rig.clock.now + LIMITS.idle + 1)
+                rig.ingress.tick(rig.clock.now + LIMITS.idle_timeout + 1)
 
         in_the_turn_of(rig, close)
         rig.send("/a/1")
@@ -381,7 +381,7 @@
         await helper.until(
             lambda: any(s._head_since for s in rig.ingress._sessions)
         )
-        rig.ingress.tick(rig.clock.now + LIMITS.head + 1)
+        rig.ingress.tick(rig.clock.now + LIMITS.head_timeout + 1)
         rig.let("/a/1")
         assert (await rig.answer())[0] == 200
         assert (await rig.answer())[0] == 408
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -227,7 +227,7 @@
     assert 1 <= found.version <= endpoints.MAX_SAFE_INTEGER
     for route in found.routes:
         assert route.timeout > 0
-        assert all(share.weight >= 0 for share in route.shares)
+        assert all(share.weight >= 0 for share in route.weighted_services)
 
 
 # The store, and what others wrote to it.
--- a/test/test_load_balancer.py
+++ b/test/test_load_balancer.py
@@ -293,7 +293,7 @@
     """Most repeats were of short calls, which call nobody themselves; charging
     them to all services left two thirds of the budget unused."""
     found = alone_with_reserve(20.0)
-    found.least_aim_by_service = {"called": 0.4, "caller": 1.5}
+    found.shortest_objective_by_service = {"called": 0.4, "caller": 1.5}
     found.record_request("caller", 0.0)
     assert (
         sum(found.spend_retry("called", 1.0, objective=0.4) for _ in range(30))
--- a/test/test_neighbours.py
+++ b/test/test_neighbours.py
@@ -22,7 +22,7 @@
 
     def __init__(self):
         self.clock = helper.FakeClock()
-        self.in_force = catalog.InForce()
+        self.active_catalog = catalog.ActiveCatalog()
         self.sent: list[messages.Control] = []
         rng = random.Random(1)
         bounds = load_balancer.RetryBudgetLimits()
@@ -30,7 +30,7 @@
             helper.info("own"),
             rng,
             self.clock,
-            self.in_force,
+            self.active_catalog,
             load_balancer.LoadBalancer(
                 "own", "d", rng, policy.BUILT_IN.program, bounds
             ),
@@ -45,7 +45,7 @@
         found = catalog.Catalog(
             version, routing.Table(()), {}, catalog.DEFAULT_LIMITS, b"record"
         )
-        self.in_force.offer(found, "store", self.clock.monotonic())
+        self.active_catalog.offer(found, "store", self.clock.monotonic())
 
     def hear(self, config: int) -> list[int]:
         """A peer with a version pings; the versions that it is told of."""
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -145,7 +145,7 @@
         changed = record(2)
         changed["tenants"]["fund"]["api-keys"] = [NOBODYS]
         fleet.store.configure(changed)
-        await helper.until(lambda: one.in_force.catalog.version == 2)
+        await helper.until(lambda: one.active_catalog.catalog.version == 2)
         for key, status in ((KEY, 401), (SECOND, 401), (NOBODYS, 200)):
             assert (await ask(fleet, (FIELD, key))).status == status
 
@@ -223,11 +223,11 @@
                     await ask(fleet, (FIELD, key), path=path)
                 await malformed(fleet, key)
             left.append(str(logs).encode())
-        left.append(first.in_force.catalog.record)
+        left.append(first.active_catalog.catalog.record)
         left.extend(one.head for t in fleet.targets for one in t.received)
         for one in fleet.proxies:
             left.append(msgspec.json.encode(reports.state(one)))
-            left.append(repr(vars(one.in_force.catalog.callers)).encode())
+            left.append(repr(vars(one.active_catalog.catalog.callers)).encode())
         left.append(await metrics(first))
         for (topic, _), partition in fleet.store.partition_by_place.items():
             if topic != "keyed.op":
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -43,10 +43,10 @@
     assert found.version == 7
     assert route.name == "r"
     assert not route.idempotent
-    assert (route.timeout, route.aim, route.attempts) == (2.5, 0.8, 2)
-    assert [share.service for share in route.shares] == ["s"]
-    assert found.services_by_name["s"].connections == 330
-    assert found.limits.idle == 15.0
+    assert (route.timeout, route.objective, route.attempts) == (2.5, 0.8, 2)
+    assert [share.service for share in route.weighted_services] == ["s"]
+    assert found.services_by_name["s"].max_connections == 330
+    assert found.limits.idle_timeout == 15.0
 
 
 @pytest.mark.parametrize("path", ["/a", "/", "/ab/", "/b/a/"])
@@ -73,7 +73,7 @@
     found = configuration.decode(
         changed(routes={"r": route}, services=services)
     )
-    shares = found.routes.find("h.example", "/a/").shares
+    shares = found.routes.find("h.example", "/a/").weighted_services
     assert [(s.service, s.weight) for s in shares] == [("s", 90), ("t", 10)]
 
 
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -638,13 +638,13 @@
         )
         await helper.until(
             lambda: all(
-                one.in_force.catalog.version == 5 for one in fleet.proxies
+                one.active_catalog.catalog.version == 5 for one in fleet.proxies
             )
         )
         for one in fleet.proxies:
             older = json.dumps(processes.record(4)).encode()
             one.configuring.record(older)
-            assert one.in_force.catalog.version == 5
+            assert one.active_catalog.catalog.version == 5
         fleet.store.configure(processes.record(4))
         fleet.store.configure({"version": 6, "routes": {"r": {}}})
         fleet.store.configure(
@@ -652,7 +652,7 @@
         )
         await helper.until(
             lambda: all(
-                one.in_force.catalog.version == 7 for one in fleet.proxies
+                one.active_catalog.catalog.version == 7 for one in fleet.proxies
             )
         )
         assert (await fleet.ask(0, "/a/")).status == 404
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -196,11 +196,11 @@
     async def work(fleet):
         one = fleet.proxies[0]
         # Before there is a configuration nobody can tell.
-        assert not one.in_force.known
+        assert not one.active_catalog.loaded
         announce(fleet, OLD, service="unheard-of", sequence=7)
         assert OLD.name in one.beside.site_by_target
         fleet.store.configure(processes.record(1))
-        await helper.until(lambda: one.in_force.known)
+        await helper.until(lambda: one.active_catalog.loaded)
         assert OLD.name not in one.beside.site_by_target
         announce(fleet, NEW, service="unheard-of", sequence=2**50)
         assert NEW.name not in one.beside.site_by_target
--- a/test/test_went_back.py
+++ b/test/test_went_back.py
@@ -195,7 +195,7 @@
 
 
 def versions(fleet) -> set[int]:
-    return {one.in_force.catalog.version for one in fleet.proxies}
+    return {one.active_catalog.catalog.version for one in fleet.proxies}
 
 
 def test_who_starts_meanwhile_has_the_newest_version_from_peers_first():
@@ -209,14 +209,14 @@
         fleet.targets.append(target)
         late = await fleet.start(2)
         taken = []
-        offer = late.in_force.offer
+        offer = late.active_catalog.offer
 
         def note(found, source, now):
             taken.append((found.version, source))
             return offer(found, source, now)
 
-        late.in_force.offer = note
-        await helper.until(lambda: late.in_force.known)
+        late.active_catalog.offer = note
+        await helper.until(lambda: late.active_catalog.loaded)
         assert taken[0] == (2, "peer")
 
     processes.play(work, [[], []])
