--- /dev/null
+++ b/forklift/header_fields.py
@@ -0,0 +1,73 @@
+"""Names of the header fields exchanged with callers and targets.
+
+A deployment with other names passes its own, so that no other module depends on
+them.
+"""
+
+import dataclasses
+import functools
+
+
+@dataclasses.dataclass(frozen=True)
+class HeaderNames:
+    """Names of header fields, in lower case.
+
+    Attributes:
+        request_id: Identity of a request; targets echo it.
+        deadline: Time in milliseconds that the sender will wait.
+        origin: Service on the instance where the request started.
+        expected: Name of the target that may run the request.
+        not_run: Present on a refusal by a target that proves that the request
+            did not run.
+        signature: Present on every response that a target itself produced.
+        target: Name of the target, in responses to health checks.
+        load: Running requests, waiting requests and slots of a target, joined
+            by commas.
+        key: Key of the calling organisation; never forwarded by the process
+            that received the request.
+        organisation: Name of the organisation, as passed to the target.
+        credentials: Fields that distinguish one caller from another.
+    """
+
+    request_id: bytes
+    deadline: bytes
+    origin: bytes
+    expected: bytes
+    not_run: bytes
+    signature: bytes
+    target: bytes
+    load: bytes
+    key: bytes
+    organisation: bytes
+    credentials: tuple[bytes, ...] = (
+        b"authorization",
+        b"x-api-key",
+        b"cookie",
+    )
+
+    @functools.cached_property
+    def reserved(self) -> frozenset[bytes]:
+        """Request fields that are dropped if the sender sets them."""
+        return frozenset(
+            (
+                self.deadline,
+                self.origin,
+                self.expected,
+                self.key,
+                self.organisation,
+            )
+        )
+
+
+DEFAULT = HeaderNames(
+    request_id=b"x-request-id",
+    deadline=b"x-request-timeout-ms",
+    origin=b"x-origin-service",
+    expected=b"x-expected-target",
+    not_run=b"x-not-run",
+    signature=b"x-answer-signature",
+    target=b"x-target",
+    load=b"x-target-load",
+    key=b"x-organisation-key",
+    organisation=b"x-organisation",
+)
--- a/forklift/platform/platform_headers.py
+++ b/forklift/platform/platform_headers.py
@@ -1,8 +1,8 @@
 """The platform's names of header fields, as the product's dialect."""
 
-from forklift import dialect
+from forklift import header_fields
 
-DIALECT = dialect.Dialect(
+PLATFORM = header_fields.HeaderNames(
     request_id=b"forklift-attempt-id",
     deadline=b"forklift-deadline-ms",
     origin=b"forklift-caller-service",
--- a/forklift/shell/announced.py
+++ b/forklift/shell/announced.py
@@ -8,7 +8,7 @@
 from forklift import admission
 from forklift import announcement
 from forklift import catalog
-from forklift import dialect
+from forklift import header_fields
 from forklift import invalid_input
 from forklift import settings
 from forklift.shell import beside as besides
@@ -37,7 +37,7 @@
     def __init__(
         self,
         read: settings.Settings,
-        names: dialect.Dialect,
+        names: header_fields.HeaderNames,
         active_catalog: catalog.ActiveCatalog,
         beside: besides.Beside,
         clock: clocks.SystemClock,
--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -9,8 +9,8 @@
 
 from forklift import admission
 from forklift import crash_candidates
-from forklift import dialect as dialects
 from forklift import fences
+from forklift import header_fields
 from forklift import health
 from forklift import messages
 from forklift import policy
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        dialect: dialects.Dialect,
+        header_names: header_fields.HeaderNames,
         program,
         clock,
         on_change,
@@ -96,7 +96,7 @@
         quarantine: quarantines.Quarantine | None = None,
         on_evidence=lambda: None,
     ):
-        self._dialect = dialect
+        self._header_names = header_names
         self._program = program
         self._clock = clock
         self._on_change = on_change
@@ -258,7 +258,7 @@
             request,
             site.target,
             site.controller.name,
-            self._dialect,
+            self._header_names,
             self._clock.monotonic,
         )
         sign: Signal | None = None
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -16,9 +16,9 @@
 import structlog
 
 from forklift import catalog as catalogs
-from forklift import dialect as dialects
 from forklift import errors
 from forklift import fingerprint
+from forklift import header_fields
 from forklift import messages
 from forklift import organisations
 from forklift.shell import answering
@@ -68,7 +68,7 @@
     """What an ingress asks of the process it belongs to.
 
     Attributes:
-        dialect: Names of header fields.
+        header_names: Names of header fields.
         limits: Bounds on callers now.
         find: Finds the route of a request by host, path and the keys that it
             carries; None when there is none. Raises
@@ -81,7 +81,7 @@
         on_problem: Takes note of one that is refused before it is a request.
     """
 
-    dialect: dialects.Dialect
+    header_names: header_fields.HeaderNames
     limits: Callable[[], catalogs.CallerLimits]
     find: Callable[[str, str, tuple[bytes, ...]], Found | None]
     known: Callable[[], bool]
@@ -381,7 +381,7 @@
         self, event: h11.Request, body: exchange.Body
     ) -> tuple[exchange.Request | None, Reason | None]:
         headers = http.fields(event)
-        names = self._desk.dialect
+        names = self._desk.header_names
         given = http.value(headers, names.request_id)
         request_id = given.decode("latin-1") if given else ""
         request_id = request_id or self._ingress.new_id()
@@ -429,7 +429,7 @@
         body: exchange.Body,
         organisation: str,
     ) -> bytes:
-        names = self._desk.dialect.credentials
+        names = self._desk.header_names.credentials
         caller = tuple(http.value(headers, name) or b"" for name in names)
         if organisation:
             # One that has two keys is one caller.
@@ -562,9 +562,11 @@
     )
 
 
-def _kept(headers: http.Headers, names: dialects.Dialect) -> http.Headers:
+def _kept(
+    headers: http.Headers, names: header_fields.HeaderNames
+) -> http.Headers:
     """Fields that travel on; those that forklift sets itself are dropped."""
-    ours = names.set_by_fleet
+    ours = names.reserved
     return tuple(h for h in http.end_to_end(headers) if h[0] not in ours)
 
 
--- a/forklift/shell/probe.py
+++ b/forklift/shell/probe.py
@@ -7,7 +7,7 @@
 import h11
 import structlog
 
-from forklift import dialect as dialects
+from forklift import header_fields
 from forklift import invalid_input
 from forklift.shell import http
 from forklift.shell import wire
@@ -38,7 +38,7 @@
 
 
 async def ask(
-    address: str, path: str, dialect: dialects.Dialect
+    address: str, path: str, header_names: header_fields.HeaderNames
 ) -> Health | None:
     """Asks a health endpoint; a hint only, as it may lie.
 
@@ -49,7 +49,7 @@
     try:
         async with asyncio.timeout(PROBE_TIMEOUT):
             connection = await wire.connect(address)
-            return await _ask(connection, address, path, dialect)
+            return await _ask(connection, address, path, header_names)
     except (OSError, TimeoutError, h11.ProtocolError) as error:
         _log.info("probe_failed", address=address, detail=repr(error))
         return None
@@ -62,7 +62,7 @@
     connection: wire.Connection,
     address: str,
     path: str,
-    dialect: dialects.Dialect,
+    header_names: header_fields.HeaderNames,
 ) -> Health | None:
     protocol = h11.Connection(h11.CLIENT)
     headers = [("host", address), ("connection", "close")]
@@ -74,19 +74,21 @@
         if event is h11.NEED_DATA:
             protocol.receive_data(await connection.read())
         elif isinstance(event, h11.Response):
-            return _health(event, dialect)
+            return _health(event, header_names)
         elif isinstance(event, h11.ConnectionClosed):
             return None
 
 
-def _health(response: h11.Response, dialect: dialects.Dialect) -> Health:
+def _health(
+    response: h11.Response, header_names: header_fields.HeaderNames
+) -> Health:
     headers = http.fields(response)
-    name = http.value(headers, dialect.target) or b""
+    name = http.value(headers, header_names.target) or b""
     if not _NAME.fullmatch(name):
         invalid_input.record(
             invalid_input.Source.HEALTH, "it gives itself no name"
         )
         name = b""
-    load = _LOAD.fullmatch(http.value(headers, dialect.load) or b"")
+    load = _LOAD.fullmatch(http.value(headers, header_names.load) or b"")
     slots = int(load[1]) if load else 0
     return Health(response.status_code < 400, name.decode("ascii"), slots)
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -13,8 +13,8 @@
 from forklift import admission
 from forklift import catalog
 from forklift import counters
-from forklift import dialect
 from forklift import errors
+from forklift import header_fields
 from forklift import interfaces
 from forklift import invariants
 from forklift import load_balancer
@@ -73,7 +73,7 @@
         read: settings.Settings,
         store: interfaces.Registry,
         decode,
-        names: dialect.Dialect,
+        names: header_fields.HeaderNames,
     ):
         self.settings = read
         self.clock = clocks.SystemClock()
@@ -207,7 +207,7 @@
         )
         self.ingress = ingress.Ingress(
             ingress.Desk(
-                dialect=self._names,
+                header_names=self._names,
                 limits=lambda: self.active_catalog.catalog.limits,
                 find=self._find,
                 known=lambda: self.active_catalog.loaded,
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -34,7 +34,7 @@
         read,
         store.Store(read.platform.store),
         store.decode,
-        platform_headers.DIALECT,
+        platform_headers.PLATFORM,
     )
     front = admin.Admin(proxy)
     calls = endpoints.Endpoints(
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -14,8 +14,8 @@
 import h11
 import structlog
 
-from forklift import dialect as dialects
 from forklift import errors
+from forklift import header_fields
 from forklift import invariants
 from forklift import messages
 from forklift.shell import exchange
@@ -80,7 +80,7 @@
         request: exchange.Request,
         expected: str,
         target: str,
-        dialect: dialects.Dialect,
+        header_names: header_fields.HeaderNames,
         now: Callable[[], float],
     ):
         """Makes a run that has not begun.
@@ -90,14 +90,14 @@
             request: The request.
             expected: The name that the target must give itself.
             target: The name by which it is known here.
-            dialect: Names of header fields.
+            header_names: Names of header fields.
             now: Monotonic seconds.
         """
         self._pool = pool
         self._request = request
         self._expected = expected
         self._target = target
-        self._dialect = dialect
+        self._header_names = header_names
         self._now = now
         self._stray = 0
         self._reusable = True
@@ -174,9 +174,9 @@
 
     def _head_event(self) -> h11.Request:
         request = self._request
-        names = self._dialect
+        names = self._header_names
         remaining = max(1, int((request.deadline - self._now()) * 1000))
-        ours = names.set_by_fleet
+        ours = names.reserved
         headers = [
             header for header in request.headers if header[0] not in ours
         ]
@@ -236,7 +236,7 @@
             if self._own(response):
                 break
             reading = await self._skip(connection, reading)
-        found = http.value(http.fields(response), self._dialect.request_id)
+        found = http.value(http.fields(response), self._header_names.request_id)
         own = self._request.id
         invariants.own_answer(own, own if found is None else found.decode())
         self.head = self._check(response)
@@ -317,7 +317,7 @@
             raise AnswerBroken(Reason.TARGET_BROKE, str(error)) from error
 
     def _own(self, response: h11.Response) -> bool:
-        found = http.value(http.fields(response), self._dialect.request_id)
+        found = http.value(http.fields(response), self._header_names.request_id)
         return found is None or found == self._request.id.encode()
 
     def _raise_not_run(self, response: h11.Response) -> None:
@@ -327,7 +327,7 @@
                 Reason.MISDIRECTED, "another target answers there"
             )
         headers = http.fields(response)
-        if http.value(headers, self._dialect.not_run) is not None:
+        if http.value(headers, self._header_names.not_run) is not None:
             raise pools.NotSent(Reason.SHED, f"it refused with {status}")
 
     def _check(self, response: h11.Response) -> Head:
@@ -342,7 +342,7 @@
         connection = http.value(headers, b"connection") or b""
         framed = chunked or declared is not None or bodiless
         closes = b"close" in connection.lower() or not framed
-        dropped = (self._dialect.load,)
+        dropped = (self._header_names.load,)
         kept = tuple(
             header
             for header in http.end_to_end(headers)
--- a/forklift_lab/demo.py
+++ b/forklift_lab/demo.py
@@ -53,8 +53,8 @@
     asker = client.Client(place.caller)
     began = time.monotonic()
     fields = (
-        (platform_headers.DIALECT.request_id.decode(), request_id),
-        (platform_headers.DIALECT.deadline.decode(), "3000"),
+        (platform_headers.PLATFORM.request_id.decode(), request_id),
+        (platform_headers.PLATFORM.deadline.decode(), "3000"),
     )
     try:
         answer = await asker.request(
@@ -82,7 +82,7 @@
     for target in running.target_by_name.values():
         for received, fault in zip(target.received, target.played, strict=True):
             if fault != "refuse":
-                field = platform_headers.DIALECT.request_id
+                field = platform_headers.PLATFORM.request_id
                 runs[received.field(field).decode()] += 1
     return runs
 
--- a/forklift_lab/kept.py
+++ b/forklift_lab/kept.py
@@ -89,7 +89,7 @@
             await asyncio.sleep(gap)
         self._send(head)
         answer = await self._answer()
-        own = platform_headers.DIALECT.request_id + b": " + request_id.encode()
+        own = platform_headers.PLATFORM.request_id + b": " + request_id.encode()
         status = int(answer.split(b" ", 2)[1])
         whole = own.lower() in answer.lower() and answer.endswith(scripted.BODY)
         return status, status != 200 or whole
@@ -130,8 +130,8 @@
         f"{method} {path} HTTP/1.1",
         "host: h",
         "content-length: 0",
-        f"{platform_headers.DIALECT.request_id.decode()}: {request_id}",
-        f"{platform_headers.DIALECT.deadline.decode()}: {DEADLINE_MS}",
+        f"{platform_headers.PLATFORM.request_id.decode()}: {request_id}",
+        f"{platform_headers.PLATFORM.deadline.decode()}: {DEADLINE_MS}",
     )
     return "\r\n".join(lines).encode() + _END
 
--- a/forklift_lab/programs.py
+++ b/forklift_lab/programs.py
@@ -188,7 +188,7 @@
     ) -> Place:
         """Starts a target, and a process beside it."""
         target = scripted.ScriptedTarget(
-            names=platform_headers.DIALECT,
+            names=platform_headers.PLATFORM,
             name=f"i-{name}",
             strict=True,
             born=BORN,
--- a/forklift_lab/promises.py
+++ b/forklift_lab/promises.py
@@ -18,7 +18,7 @@
     for target in soak.running.target_by_name.values():
         for received, fault in zip(target.received, target.played, strict=True):
             if fault not in ("refuse", "misdirected"):
-                field = platform_headers.DIALECT.request_id
+                field = platform_headers.PLATFORM.request_id
                 runs[received.field(field).decode()] += 1
     return runs
 
--- a/forklift_lab/scripted.py
+++ b/forklift_lab/scripted.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from forklift import announcement
-from forklift import dialect as dialects
+from forklift import header_fields
 from forklift.shell import wire
 
 BODY = b"the whole answer"
@@ -58,7 +58,7 @@
         number: int,
         reader,
         writer,
-        names: dialects.Dialect,
+        names: header_fields.HeaderNames,
         release: asyncio.Event,
         crash: Callable[[], None],
     ):
@@ -233,7 +233,7 @@
     def __init__(
         self,
         *script: str,
-        names: dialects.Dialect = dialects.OWN,
+        names: header_fields.HeaderNames = header_fields.DEFAULT,
         name: str = "t",
         slots: int = 4,
         strict: bool = False,
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -280,10 +280,10 @@
             asker = client.Client(rng.choice(self.running.places).caller)
             fields = (
                 (
-                    platform_headers.DIALECT.request_id.decode(),
+                    platform_headers.PLATFORM.request_id.decode(),
                     self.new_id("few"),
                 ),
-                (platform_headers.DIALECT.key.decode(), KEY),
+                (platform_headers.PLATFORM.key.decode(), KEY),
             )
             with contextlib.suppress(client.Failed):
                 path = f"/{ORGANISATION}/"
@@ -302,8 +302,8 @@
         since = self.due(self.now(), USERS_WITHIN) if kind == "since" else 0
         request_id = self.new_id(kind)
         fields = (
-            (platform_headers.DIALECT.request_id.decode(), request_id),
-            (platform_headers.DIALECT.deadline.decode(), str(DEADLINE_MS)),
+            (platform_headers.PLATFORM.request_id.decode(), request_id),
+            (platform_headers.PLATFORM.deadline.decode(), str(DEADLINE_MS)),
         )
         method = "POST" if kind == "copies" else "GET"
         path = f"/{kind}/" if kind in KINDS else f"/{kind}{version or since}/"
@@ -515,7 +515,7 @@
 
 def _is_own(answer: client.Response, request_id: str) -> bool:
     given = dict(answer.headers).get(
-        platform_headers.DIALECT.request_id.lower()
+        platform_headers.PLATFORM.request_id.lower()
     )
     own = given == request_id.encode()
     return own and answer.body == scripted.BODY
--- a/test/processes.py
+++ b/test/processes.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from forklift import announcement
-from forklift import dialect
+from forklift import header_fields
 from forklift import settings
 from forklift.platform import store as adapter
 from forklift.shell import client
@@ -76,7 +76,7 @@
             settings.Budget(1.0, 10.0, 100.0),
         )
         store = adapter.Store(self.server.address)
-        one = proxy.Proxy(read, store, adapter.decode, dialect.OWN)
+        one = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         await one.start()
         self.proxies.append(one)
         self.announce(one, number)
--- a/test/test_binary.py
+++ b/test/test_binary.py
@@ -36,7 +36,7 @@
 async def ask(place: programs.Place, path: str) -> client.Response:
     asker = client.Client(place.caller)
     try:
-        fields = ((demo.platform_headers.DIALECT.deadline.decode(), "20000"),)
+        fields = ((demo.platform_headers.PLATFORM.deadline.decode(), "20000"),)
         return await asker.request("GET", path, headers=fields, host="h")
     finally:
         asker.close()
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -7,7 +7,7 @@
 import pytest
 
 from forklift import catalog
-from forklift import dialect
+from forklift import header_fields
 from forklift import messages
 from forklift.shell import answering
 from forklift.shell import exchange
@@ -36,7 +36,7 @@
         self.clock = helper.FakeClock()
         self.ingress = ingress.Ingress(
             ingress.Desk(
-                dialect=dialect.OWN,
+                header_names=header_fields.DEFAULT,
                 limits=lambda: self.limits,
                 find=self._find,
                 known=lambda: self.known,
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies
 
 from forklift import announcement
-from forklift import dialect
 from forklift import errors
+from forklift import header_fields
 from forklift import invalid_input
 from forklift import messages
 from forklift.platform import configuration
@@ -198,11 +198,14 @@
     try:
         response = h11.Response(
             status_code=200,
-            headers=[(dialect.OWN.target, name), (dialect.OWN.load, load)],
+            headers=[
+                (header_fields.DEFAULT.target, name),
+                (header_fields.DEFAULT.load, load),
+            ],
         )
     except h11.LocalProtocolError:
         return
-    found = probe._health(response, dialect.OWN)
+    found = probe._health(response, header_fields.DEFAULT)
     assert found.target.isprintable()
     assert 0 <= found.slots < 10**6
 
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -6,7 +6,7 @@
 import pytest
 import structlog
 
-from forklift import dialect
+from forklift import header_fields
 from forklift import organisations
 from forklift.platform import configuration
 from forklift.shell import admin
@@ -23,8 +23,8 @@
 OTHER = "k-secret-of-the-clerks"
 NOBODYS = "k-secret-of-nobody"
 KEYS = (KEY, SECOND, OTHER, NOBODYS)
-FIELD = dialect.OWN.key.decode()
-NAME = dialect.OWN.organisation
+FIELD = header_fields.DEFAULT.key.decode()
+NAME = header_fields.DEFAULT.organisation
 
 
 def record(version: int = 1, **changes) -> dict:
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from forklift import announcement
-from forklift import dialect
+from forklift import header_fields
 from forklift import load_balancer
 from forklift import messages
 from forklift import policy
@@ -45,7 +45,7 @@
             answer = await fleet.ask(number)
             assert (answer.status, answer.body) == (200, scripted.BODY)
         origins = {
-            received.field(dialect.OWN.origin)
+            received.field(header_fields.DEFAULT.origin)
             for target in fleet.targets
             for received in target.received
         }
@@ -281,7 +281,7 @@
             settings.Settings(process, platform),
             store,
             adapter.decode,
-            dialect.OWN,
+            header_fields.DEFAULT,
         )
         fleet.proxies.append(new)
         await new.start()
@@ -499,7 +499,7 @@
         )
         read = settings.Settings(process, platform)
         store = adapter.Store(platform.store)
-        one = proxy.Proxy(read, store, adapter.decode, dialect.OWN)
+        one = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         await one.start()
         assert one.directory.own.peer == "127.0.0.1:9"
         assert one.directory.own.control == "127.0.0.1:10"
@@ -672,7 +672,7 @@
         fleet.store.go_away()
         read = dataclasses.replace(old.settings, process=fixed)
         store = adapter.Store(fleet.server.address)
-        new = proxy.Proxy(read, store, adapter.decode, dialect.OWN)
+        new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         fleet.proxies.insert(0, new)
         await new.start()
         fleet.announce(new, 0)
@@ -696,7 +696,7 @@
         await old.close()
         read = dataclasses.replace(old.settings, process=fixed)
         store = adapter.Store(fleet.server.address)
-        new = proxy.Proxy(read, store, adapter.decode, dialect.OWN)
+        new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         fleet.proxies.insert(0, new)
         await new.start()
         lives = new.announced._incarnations
@@ -723,7 +723,7 @@
         await helper.until(lambda: len(picked(other)) == 1)
         read = dataclasses.replace(old.settings, process=fixed)
         store = adapter.Store(fleet.server.address)
-        new = proxy.Proxy(read, store, adapter.decode, dialect.OWN)
+        new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         fleet.proxies.insert(0, new)
         await new.start()
         await helper.until(lambda: new.neighbours.met)
@@ -758,7 +758,7 @@
         assert site.controller.state is State.LEFT
         assert (await fleet.ask()).status == 200
         received = fleet.targets[0].received[0]
-        assert received.field(dialect.OWN.expected) == b"t9"
+        assert received.field(header_fields.DEFAULT.expected) == b"t9"
 
     processes.play(work, [[]])
 
@@ -858,7 +858,7 @@
                 read,
                 adapter.Store(listening.address),
                 adapter.decode,
-                dialect.OWN,
+                header_fields.DEFAULT,
             )
             await one.start()
             await helper.until(lambda: one.beside.site_by_target)
@@ -874,7 +874,9 @@
     async def work():
         async with scripted.ScriptedTarget(name="t0") as target:
             target.leaving = True
-            found = await probe.ask(target.address, "/health", dialect.OWN)
+            found = await probe.ask(
+                target.address, "/health", header_fields.DEFAULT
+            )
             assert found == probe.Health(False, "t0", 4)
 
     helper.run(work())
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -9,8 +9,8 @@
 
 from forklift import admission
 from forklift import announcement
-from forklift import dialect
 from forklift import fingerprint
+from forklift import header_fields
 from forklift.shell import clock
 from forklift.shell import http
 from forklift.shell import keeping
@@ -290,7 +290,7 @@
 
 
 def deadly_fingerprint() -> bytes:
-    none = tuple(b"" for _ in dialect.OWN.credentials)
+    none = tuple(b"" for _ in header_fields.DEFAULT.credentials)
     return fingerprint.compute(b"GET", b"h", b"/a/deadly", none, 0, b"")
 
 
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -7,7 +7,7 @@
 import pytest
 
 from forklift import announcement
-from forklift import dialect
+from forklift import header_fields
 from forklift import load_balancer
 from forklift import membership
 from forklift import messages
@@ -59,7 +59,7 @@
         assert (await fleet.ask()).status == 200
         (received,) = fleet.targets[0].received
         # The target knows itself by its own name only.
-        assert received.field(dialect.OWN.expected) == b"t0"
+        assert received.field(header_fields.DEFAULT.expected) == b"t0"
 
     processes.play(work, [[]])
 
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -354,7 +354,7 @@
 def test_a_kept_caller_knows_that_it_was_told_of_the_end():
     async def work():
         async with scripted.ScriptedTarget(
-            "closing", names=platform_headers.DIALECT
+            "closing", names=platform_headers.PLATFORM
         ) as target:
             asker = kept.Kept(target.address)
             await asker.open()
@@ -409,7 +409,7 @@
 def test_a_kept_caller_has_its_own_answers_on_one_connection():
     async def work():
         async with scripted.ScriptedTarget(
-            names=platform_headers.DIALECT
+            names=platform_headers.PLATFORM
         ) as target:
             asker = kept.Kept(target.address)
             await asker.open()
@@ -425,7 +425,7 @@
 @pytest.mark.parametrize("ways", [{relay.Way.UP}, {relay.Way.DOWN}, relay.Way])
 def test_an_open_connection_dies_silently_and_a_new_one_works(ways):
     async def work():
-        target = scripted.ScriptedTarget(names=platform_headers.DIALECT)
+        target = scripted.ScriptedTarget(names=platform_headers.PLATFORM)
         async with target, relay.Relay(target.address) as passing:
             old = client.Client(passing.address)
             new = client.Client(passing.address)
@@ -446,7 +446,7 @@
 
 def test_a_relay_that_drops_lets_nothing_of_a_connection_by_later():
     async def work():
-        target = scripted.ScriptedTarget(names=platform_headers.DIALECT)
+        target = scripted.ScriptedTarget(names=platform_headers.PLATFORM)
         async with target, relay.Relay(target.address) as passing:
             asker = client.Client(passing.address)
             passing.dropping = frozenset({relay.Way.DOWN})
@@ -464,7 +464,7 @@
 
 def test_a_relay_holds_back_what_goes_one_way_and_delivers_it_later():
     async def work():
-        target = scripted.ScriptedTarget(names=platform_headers.DIALECT)
+        target = scripted.ScriptedTarget(names=platform_headers.PLATFORM)
         async with target, relay.Relay(target.address) as passing:
             host, _, port = passing.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from forklift import dialect
+from forklift import header_fields
 from forklift import messages
 from forklift.shell import clock
 from forklift.shell import exchange
@@ -47,9 +47,9 @@
         "path": b"/a/b?c=%20d",
         "headers": (
             (b"host", b"h"),
-            (dialect.OWN.request_id, f"id-{number}".encode()),
+            (header_fields.DEFAULT.request_id, f"id-{number}".encode()),
             (b"x-other", b"kept"),
-            (dialect.OWN.expected, b"forged"),
+            (header_fields.DEFAULT.expected, b"forged"),
         ),
         "length": 4,
         "body": exchange.Body(b"body"),
@@ -62,7 +62,7 @@
 
 
 async def go(pool: pools.Pool, sent: exchange.Request, sink: Sink) -> int:
-    run = upstream.Run(pool, sent, "t-1", "t-1", dialect.OWN, NOW)
+    run = upstream.Run(pool, sent, "t-1", "t-1", header_fields.DEFAULT, NOW)
     return await run.go(lambda: None, lambda: None, sink)
 
 
@@ -100,10 +100,10 @@
     assert received.head.startswith(b"POST /a/b?c=%20d HTTP/1.1\r\n")
     assert received.body == b"body"
     assert received.field(b"x-other") == b"kept"
-    assert received.field(dialect.OWN.expected) == b"t-1"
-    assert received.field(dialect.OWN.origin) == b"beside"
-    assert 0 < int(received.field(dialect.OWN.deadline)) <= 20_000
-    assert received.head.count(dialect.OWN.expected) == 1
+    assert received.field(header_fields.DEFAULT.expected) == b"t-1"
+    assert received.field(header_fields.DEFAULT.origin) == b"beside"
+    assert 0 < int(received.field(header_fields.DEFAULT.deadline)) <= 20_000
+    assert received.head.count(header_fields.DEFAULT.expected) == 1
 
 
 @pytest.mark.parametrize(
@@ -152,7 +152,7 @@
     assert outcomes == [500]
     assert sinks[0].head.status == 500
     fields = dict(sinks[0].head.headers)
-    assert fields[dialect.OWN.signature] == b"signed"
+    assert fields[header_fields.DEFAULT.signature] == b"signed"
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
@@ -184,7 +184,12 @@
     async def work():
         async with scripted.ScriptedTarget() as target:
             run = upstream.Run(
-                pool_of(target), request(), "t-1", "t-1", dialect.OWN, NOW
+                pool_of(target),
+                request(),
+                "t-1",
+                "t-1",
+                header_fields.DEFAULT,
+                NOW,
             )
             with pytest.raises(pools.NotSent) as caught:
                 await run.go(lambda: Reason.FENCED, lambda: None, Sink())
