--- a/forklift/__main__.py
+++ b/forklift/__main__.py
@@ -1,9 +1,9 @@
-"""Runs the command line as `python -m forklift`, and as the binary."""
+"""Runs the command line for `python -m forklift` and the binary."""
 
 import signal
 
-# Until the process can read its settings again, a request to do so must not
-# end it: loading takes most of a second.
+# A SIGHUP that arrives during the imports must not end the process; the handler
+# that reloads the settings is installed later.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from forklift import ui  # noqa: E402
--- a/forklift/errors.py
+++ b/forklift/errors.py
@@ -1,26 +1,26 @@
-"""The tree of errors; every message names its remedy."""
+"""Exceptions. Each message says what to do about the error."""
 
 import dataclasses
 
 
 class ForkliftError(Exception):
-    """Root of every error that forklift raises on purpose."""
+    """Base class of all exceptions that forklift raises."""
 
 
 class UserError(ForkliftError):
-    """A mistake of an operator, shown as one line."""
+    """Operator error; the command line prints its message."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Problem:
-    """One mistake in a file.
+    """Invalid entry in a settings or policy file.
 
     Attributes:
         file: Path or name of the file.
-        section: INI section, empty when the file as a whole is meant.
-        key: INI key, empty when the section as a whole is meant.
-        message: What is wrong.
-        remedy: What to do about it.
+        section: INI section; empty if the problem concerns the whole file.
+        key: INI key; empty if the problem concerns the whole section.
+        message: Description of the problem.
+        remedy: How to fix it.
     """
 
     file: str
@@ -37,7 +37,7 @@
 
 
 class FileProblems(UserError):
-    """A settings or policy file holds mistakes; all are listed."""
+    """A settings or policy file is invalid; lists every problem."""
 
     def __init__(self, problems: tuple[Problem, ...]):
         self.problems = problems
@@ -45,7 +45,7 @@
 
 
 class PublishConflict(UserError):
-    """Another publication came first."""
+    """Another configuration was published concurrently."""
 
     def __init__(self, version: int):
         self.version = version
@@ -66,7 +66,7 @@
 
 
 class RegistryGap(ForkliftError):
-    """Records between what was read and what is kept are gone."""
+    """The store has discarded the records at the requested position."""
 
     def __init__(self):
         super().__init__(
@@ -76,7 +76,7 @@
 
 
 class PeerUnreachable(ForkliftError):
-    """A peer could not be spoken to; nothing was sent to it."""
+    """No connection to a peer; nothing was sent to it."""
 
     def __init__(self, name: str, detail: str):
         super().__init__(
@@ -86,10 +86,11 @@
 
 
 class BadRequest(ForkliftError):
-    """A caller's bytes can't be forwarded safely.
+    """A request is malformed or can't be forwarded safely.
 
     Attributes:
-        status: The HTTP status to answer with.
+        status: HTTP status of the response.
+        remedy: What the caller should change.
     """
 
     def __init__(self, message: str, remedy: str, status: int = 400):
@@ -99,7 +100,11 @@
 
 
 class InvariantViolation(ForkliftError):
-    """A promise was seen broken inside the program."""
+    """An internal invariant does not hold.
+
+    Attributes:
+        promise: Name of the invariant.
+    """
 
     def __init__(self, promise: str, detail: str):
         self.promise = promise
--- a/forklift/ini.py
+++ b/forklift/ini.py
@@ -1,7 +1,8 @@
-"""Reads INI sections into frozen dataclasses and lists every mistake.
+"""Parses INI sections into frozen dataclasses and reports every problem.
 
-A field of a dataclass becomes a key of its section; `key()` gives its parser,
-its bounds and the line that docs/SETTINGS.md prints of it.
+Each field that is declared with `key()` is read from the key of the same name.
+`key()` takes the parser with its bounds, and the description that is printed in
+docs/SETTINGS.md.
 """
 
 import configparser
@@ -19,11 +20,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Key:
-    """How one key of a section is read.
+    """Parser and description of an INI key.
 
     Attributes:
-        parse: Turns text into the value; raises ValueError with the remedy.
-        doc: One line on what it means, with its unit.
+        parse: Converts text to the value. Raises ValueError with the remedy.
+        doc: One-line description, with the unit.
     """
 
     parse: Callable[[str], Any]
@@ -35,19 +36,19 @@
     doc: str,
     default: Any = dataclasses.MISSING,
 ) -> Any:
-    """Declares a field that is read from a key; no default: it must be set."""
+    """Declares a field that is read from an INI key; required if no default."""
     return dataclasses.field(default=default, metadata={"key": Key(parse, doc)})
 
 
 def text(value: str) -> str:
-    """Any text that is not empty."""
+    """Parses non-empty text."""
     if not value.strip():
         raise ValueError("give it a value")
     return value.strip()
 
 
 def name(value: str) -> str:
-    """A name of letters, digits, dot, dash and underscore.
+    """Parses a name of letters, digits, dots, dashes and underscores.
 
     >>> name("almadies-1")
     'almadies-1'
@@ -60,7 +61,7 @@
 
 
 def integer(low: int, high: int) -> Callable[[str], int]:
-    """A whole number within bounds."""
+    """Returns a parser for an integer from `low` to `high`."""
 
     def parse(value: str) -> int:
         try:
@@ -75,7 +76,7 @@
 
 
 def number(low: float, high: float) -> Callable[[str], float]:
-    """A number within bounds."""
+    """Returns a parser for a number from `low` to `high`."""
 
     def parse(value: str) -> float:
         try:
@@ -90,7 +91,7 @@
 
 
 def one_of(*choices: str) -> Callable[[str], str]:
-    """One of some words."""
+    """Returns a parser that accepts only the given words."""
 
     def parse(value: str) -> str:
         if value.strip() not in choices:
@@ -101,7 +102,7 @@
 
 
 def address(value: str) -> str:
-    """An IP number with a port; port 0 lets the system choose one.
+    """Parses an IP address with a port; port 0 means an ephemeral port.
 
     >>> address("127.0.0.1:80")
     '127.0.0.1:80'
@@ -118,7 +119,7 @@
 
 
 def endpoint(value: str) -> str:
-    """An address where somebody listens: its port is not left open.
+    """Parses an address to connect to; unlike `address`, port 0 is invalid.
 
     >>> endpoint("10.0.0.7:80")
     '10.0.0.7:80'
@@ -130,13 +131,13 @@
 
 
 def addresses(value: str) -> tuple[str, ...]:
-    """Addresses, separated by commas; none is fine."""
+    """Parses a comma-separated list of addresses, which may be empty."""
     parts = [part.strip() for part in value.split(",")]
     return tuple(address(part) for part in parts if part)
 
 
 class Reader:
-    """One file, and the problems found in it."""
+    """Parses one INI file and collects its problems."""
 
     def __init__(self, file: str, content: str):
         self.file = file
@@ -148,34 +149,34 @@
         try:
             self._parser.read_string(content)
         except (configparser.Error, ValueError, AttributeError) as error:
-            # The parser itself trips over some lines without a key.
+            # configparser raises AttributeError for some lines without a key.
             first = str(error).splitlines()[0]
             self.report("", "", first, "write sections and 'key = value' lines")
-            # What was read up to the mistake is in no usable shape.
+            # The partially filled parser is in an inconsistent state.
             self._parser = configparser.ConfigParser(interpolation=None)
 
     @property
     def sections(self) -> list[str]:
-        """Names of the sections in order."""
+        """Names of the sections, in file order."""
         return self._parser.sections()
 
     def report(
         self, section: str, key_name: str, message: str, remedy: str
     ) -> None:
-        """Notes a problem."""
+        """Adds a problem."""
         problem = errors.Problem(self.file, section, key_name, message, remedy)
         self.problems.append(problem)
 
     def read(self, section: str, kind: type[T], **given: Any) -> T | None:
-        """Reads a section into a dataclass.
+        """Parses a section into a dataclass.
 
         Args:
             section: Name of the section.
             kind: The dataclass.
-            **given: Fields that don't come from the file.
+            **given: Values of fields that are not read from the file.
 
         Returns:
-            The dataclass, or None where a problem was noted.
+            The dataclass, or None if the section has a problem.
         """
         before = len(self.problems)
         values = {}
@@ -204,10 +205,10 @@
         return kind(**read)
 
     def finish(self) -> None:
-        """Raises what was noted.
+        """Raises an error if any problem was found.
 
         Raises:
-            errors.FileProblems: When there was any problem.
+            errors.FileProblems: With all problems.
         """
         if self.problems:
             raise errors.FileProblems(tuple(self.problems))
@@ -219,7 +220,7 @@
 
 
 def keys_by_name(kind: type) -> dict[str, dataclasses.Field]:
-    """The keys that a dataclass reads, by name."""
+    """Returns the fields of a dataclass that are INI keys, by name."""
     return {
         field.name: field
         for field in dataclasses.fields(kind)
--- a/forklift/interfaces.py
+++ b/forklift/interfaces.py
@@ -1,4 +1,4 @@
-"""The ports between the decisions and the world."""
+"""Interfaces through which the decision logic accesses I/O and time."""
 
 import dataclasses
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigurationRead:
-    """What a look for the configuration found.
+    """Result of reading the configuration from the store.
 
     Attributes:
-        record: The newest record; None where there was none.
-        position: Where to look on for the next one.
+        record: Newest record; None if there is none.
+        position: Position from which to read the next record.
     """
 
     record: bytes | None
@@ -21,76 +21,83 @@
 
 
 class Registry(Protocol):
-    """The platform's store: the configuration, and who may be joined.
+    """Store of the configuration and of the processes that can be joined.
 
     Attributes:
-        on_lost: Called when it came back without some of what it had
-            acknowledged: all that rests on it is to be written again.
+        on_lost: Called when the store has lost acknowledged writes, which the
+            receiver must then repeat.
     """
 
     on_lost: Callable[[], None]
 
     async def configuration(self) -> ConfigurationRead:
-        """The newest configuration.
+        """Reads the newest configuration.
 
         Raises:
-            errors.RegistryUnavailable: No answer.
+            errors.RegistryUnavailable: The store did not answer.
         """
 
     async def next_configuration(
         self, position: int, wait: float
     ) -> ConfigurationRead:
-        """The newest configuration after a position; waits for one.
+        """Waits for a configuration that is newer than a position.
 
         Args:
-            position: As found before.
-            wait: Seconds to wait at most.
+            position: Position from an earlier read.
+            wait: Maximum time to wait, in seconds.
 
         Raises:
-            errors.RegistryUnavailable: No answer.
-            errors.RegistryGap: The records there are gone.
+            errors.RegistryUnavailable: The store did not answer.
+            errors.RegistryGap: The store no longer has the records at the
+                position.
         """
 
     async def members(self) -> dict[str, bytes]:
-        """What processes announced, by name.
+        """Returns the announced records by name.
 
         Raises:
-            errors.RegistryUnavailable: No answer.
+            errors.RegistryUnavailable: The store did not answer.
         """
 
     async def announce(self, name: str, data: bytes) -> None:
-        """Announces a process, in place of what it announced before.
+        """Writes a record, replacing any earlier one with the same name.
 
-        Other records that all are to read may stand beside those of processes.
-        Empty data drops a record.
+        Besides processes, this stores other records that all processes read.
+        Empty data deletes the record.
 
         Raises:
-            errors.RegistryUnavailable: No answer; it may have happened.
+            errors.RegistryUnavailable: The store did not answer. The write may
+                have taken effect.
         """
 
     async def publish(self, data: bytes, position: int) -> bool:
-        """Writes a configuration if nothing came after a position.
+        """Writes a configuration unless a newer record exists.
+
+        Args:
+            data: Configuration record.
+            position: Position at which the topic must still end.
 
         Returns:
-            Whether it was written.
+            Whether the configuration was written.
 
         Raises:
-            errors.RegistryUnavailable: No answer; it may have happened.
+            errors.RegistryUnavailable: The store did not answer. The write may
+                have taken effect.
         """
 
 
 class Clock(Protocol):
-    """Time, handed in wherever a decision needs it."""
+    """Source of time for the decision logic."""
 
     def monotonic(self) -> float:
-        """Seconds that never go back; compared within one process only."""
+        """Returns monotonic seconds, comparable only within one process."""
 
     def wall(self) -> float:
-        """Seconds since the epoch; compared between processes with care."""
+        """Returns seconds since the epoch; clocks of processes may differ."""
 
 
 class Transport(Protocol):
-    """One-way control messages between processes."""
+    """Sends one-way control messages to other processes."""
 
     def send(
         self, address: str, message: messages.Control, renew: bool = False
--- a/forklift/invalid_input.py
+++ b/forklift/invalid_input.py
@@ -1,8 +1,6 @@
-"""Counts what came from outside and could not be used, by where it came from.
+"""Counts and logs invalid input from outside the process.
 
-Other writers may send what no target, operator or process of this platform
-sends, and as often as they like. Each is left out by itself: it names nothing
-to use, and what was known before holds.
+Invalid input is ignored: it changes no state, and processing continues.
 """
 
 import collections
@@ -14,7 +12,7 @@
 
 
 class Source(enum.StrEnum):
-    """Where something that could not be used came from."""
+    """Where invalid input came from."""
 
     HEARTBEAT = "heartbeat"
     HEALTH = "health"
@@ -27,14 +25,15 @@
 
 
 def record(source: Source, detail: str, **fields: object) -> None:
-    """Counts one, and logs the first, second, fourth, eighth and so on.
+    """Counts an invalid input and logs it at exponentially growing intervals.
 
-    So a writer that never ends costs some thirty lines in all.
+    Only counts that are powers of two are logged, which bounds the number of
+    log lines.
 
     Args:
-        source: Where it came from.
+        source: Where the input came from.
         detail: What is wrong with it.
-        **fields: What the log line tells besides.
+        **fields: Additional fields of the log line.
     """
     count_by_source[source] += 1
     count = count_by_source[source]
--- a/forklift/log_trace.py
+++ b/forklift/log_trace.py
@@ -1,7 +1,7 @@
-"""Tells the story of one request, or of one target, from log lines.
+"""Traces a request or a target through the logs of several processes.
 
-Log lines of several processes are put in order by their time of day, which
-may differ between instances by some milliseconds.
+Lines are sorted by wall time, so the order of lines of different instances is
+only as exact as their clocks agree.
 """
 
 import dataclasses
@@ -14,9 +14,9 @@
     """One log line.
 
     Attributes:
-        at: Time of day, ISO 8601.
-        event: What happened.
-        fields: Everything else on the line, as text by name.
+        at: Timestamp, ISO 8601.
+        event: Name of the event.
+        fields: All other fields of the line, as text by name.
     """
 
     at: str
@@ -24,31 +24,31 @@
     fields: dict[str, str]
 
 
-_NOT_TOLD = ("event", "timestamp", "level", "request", "left_out")
+_HIDDEN_FIELDS = ("event", "timestamp", "level", "request", "left_out")
 
 _CAUSE_BY_REASON = {
-    "target-broke": "the target broke the connection after it was sent",
-    "target-crashed": "the target ended while it ran it",
-    "timeout": "no answer came within its time",
-    "deadline": "no target was free within its time",
-    "peer-lost": "the path to the process beside the target was lost",
-    "busy": "all targets in reach were busy",
-    "doubted": "every target in reach was doubted",
-    "shed": "targets refused it themselves",
-    "no-target": "no target of its service was known",
-    "no-service": "no route leads there",
-    "no-configuration": "the process knew no configuration yet",
-    "draining": "its target was leaving",
-    "fenced": "its guard was told in time not to start it",
-    "quarantined": "targets crashed while they ran it, each time it came",
-    "stale": "its guard had been paused",
-    "limited": "its organisation sends more than it may, at all processes",
+    "target-broke": "the target broke the connection during the request",
+    "target-crashed": "the target crashed while it ran the request",
+    "timeout": "the target did not respond before the timeout",
+    "deadline": "no target was available before the deadline",
+    "peer-lost": "the connection to the target's process was lost",
+    "busy": "all reachable targets were busy",
+    "doubted": "all reachable targets were ejected",
+    "shed": "the targets rejected the request",
+    "no-target": "no target of the service was known",
+    "no-service": "no route matches the request",
+    "no-configuration": "the process had not loaded a configuration yet",
+    "draining": "the target was draining",
+    "fenced": "the target's process was told not to start the request",
+    "quarantined": "it is quarantined as targets crashed while they ran it",
+    "stale": "the target's process had been paused",
+    "limited": "the organisation exceeds its rate limit",
 }
-_END = "request"
+_REQUEST_ENDED_EVENT = "request"
 
 
 def parse(lines: Iterable[str]) -> list[LogLine]:
-    """Reads log lines, in order of time; what is no log line is passed over.
+    """Parses JSON log lines and sorts them by time; skips all other lines.
 
     >>> parse(['x', '{"event": "a", "timestamp": "2", "n": 1}'])
     [LogLine(at='2', event='a', fields={'n': '1'})]
@@ -73,39 +73,45 @@
 
 
 def trace_request(lines: list[LogLine], request: str) -> list[str]:
-    """The story of one request; empty where no line names it."""
+    """Describes a request line by line, then the cause of its outcome."""
     own = [line for line in lines if line.fields.get("request") == request]
     if not own:
         return []
-    told = [_tell(line) for line in own]
-    end = next((line for line in own if line.event == _END), None)
+    output = [_format(line) for line in own]
+    end = next(
+        (line for line in own if line.event == _REQUEST_ENDED_EVENT), None
+    )
     if end is not None:
-        told.append(_cause(end))
-    return told
+        output.append(_format_cause(end))
+    return output
 
 
 def trace_target(lines: list[LogLine], target: str) -> list[str]:
-    """The story of one target; empty where no line names it."""
+    """Describes the log lines of a target."""
     return [
-        _tell(line) for line in lines if line.fields.get("target") == target
+        _format(line) for line in lines if line.fields.get("target") == target
     ]
 
 
-def _tell(line: LogLine) -> str:
+def _format(line: LogLine) -> str:
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
-        if name not in _NOT_TOLD and value
+        if name not in _HIDDEN_FIELDS and value
     )
     return f"{line.at} {line.event}: {fields}"
 
 
-def _cause(end: LogLine) -> str:
+def _format_cause(end: LogLine) -> str:
     reason = end.fields.get("reason", "")
     status = end.fields.get("status", "0")
     outcome = end.fields.get("outcome", "")
     if outcome == "answered":
-        return f"cause: the target itself answered {status}"
-    cause = _CAUSE_BY_REASON.get(reason, reason or "not known")
-    ran = "it has not run" if outcome == "not-run" else "it may have run"
+        return f"cause: the target responded with status {status}"
+    cause = _CAUSE_BY_REASON.get(reason, reason or "unknown")
+    ran = (
+        "the request did not run"
+        if outcome == "not-run"
+        else "the request may have run"
+    )
     return f"cause: {cause}; {ran}"
--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -1,8 +1,8 @@
-"""Typed messages: frames between processes, control messages, records.
+"""Typed messages: frames between processes, control messages, stored records.
 
-All are frozen msgspec structs, encoded as MessagePack arrays. A struct is
-tagged with a small number, so that each union decodes in one pass and an
-unknown or malformed message is refused whole.
+All messages are frozen msgspec structs that are encoded as MessagePack arrays
+and tagged with a number, so that each union is decoded in a single pass.
+Unknown or malformed messages are rejected.
 """
 
 import enum
@@ -20,7 +20,11 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request; there is no fourth."""
+    """Outcome of a request.
+
+    A request that may have run on a target but has no complete response is
+    `UNKNOWN`.
+    """
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -28,7 +32,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why something was refused, broken off or decided."""
+    """Why a request was refused, was aborted or was decided otherwise."""
 
     BUSY = "busy"
     CANCELLED = "cancelled"
@@ -56,19 +60,19 @@
 
 
 class TargetState(enum.StrEnum):
-    """Where a target stands in the eyes of its guard."""
+    """State of a target, as its own process reports it."""
 
     IN_SERVICE = "in-service"
     SUSPECT = "suspect"
     SHEDDING = "shedding"
-    # The process beside it stops; the target itself lives on.
+    # The process that owns the target stops; the target itself keeps running.
     PAUSED = "paused"
     DRAINING = "draining"
     LEFT = "left"
 
 
 class Liveness(enum.IntEnum):
-    """How a process is seen by its peers; a higher one overrides."""
+    """Membership state of a process; a higher value overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -76,26 +80,25 @@
     LEFT = 3
 
 
-class _Wire(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Base of all messages."""
+class _Message(msgspec.Struct, frozen=True, array_like=True, gc=False):
+    """Base class of all messages."""
 
 
-class Load(_Wire):
-    """A target's load, carried on what is being sent anyway.
+class Load(_Message):
+    """Load and state of a target, piggybacked on responses and failures.
 
     Attributes:
-        in_flight: Requests that the target is running.
-        queued: Requests that wait at the guard.
-        limit: Requests the guard lets run at once.
-        state: Where the target stands.
-        version: Counter of the state; higher is newer in one boot.
-        latency: Median latency of the route that is answered, seconds; 0 when
-            unknown.
-        idle: Seconds since a request last began there.
+        in_flight: Number of requests that the target is running.
+        queued: Number of requests in the admission queue of the target.
+        limit: Concurrency limit of the target.
+        state: State of the target.
+        version: Version of the state; increases within one boot.
+        latency: Median latency of the route in seconds; 0 if unknown.
+        idle: Seconds since the target last started a request.
         unhealthy_probability: How likely it is in a bad phase, 0 to 1.
-        latency_spread: Standard deviation of the logarithm of that latency.
-        failure_percent: Requests of the service that fail, of a hundred, as the
-            process beside the target sees it in its own.
+        latency_spread: Standard deviation of the logarithm of the latency.
+        failure_percent: Percentage of failed requests to the service, as
+            measured by the process that owns the target.
     """
 
     in_flight: int
@@ -110,19 +113,19 @@
     failure_percent: int = 0
 
 
-# Frames on the stream between two processes.
+# Frames on a connection between two processes.
 
 
-class Hello(_Wire, tag=1):
-    """Opens a connection; the answer to it is a Hello too.
+class Hello(_Message, tag=1):
+    """First frame on a connection, sent by both sides.
 
     Attributes:
         name: Name of the sending process.
-        boot: Random identity of this run of the process.
-        incarnation: Rises when the process finds that it was paused.
-        nonce: Random bytes that the other side's proof must cover.
-        compress: Whether both sides compress what follows: the side that
-            opened the connection asks for it, the other agrees.
+        boot: Random ID of this run of the process.
+        incarnation: Increases when the process detects that it was paused.
+        nonce: Random bytes that the proof of the other side must cover.
+        compress: Whether frames are compressed after the handshake. The client
+            requests it and the server confirms it.
     """
 
     name: str
@@ -132,46 +135,48 @@
     compress: bool = False
 
 
-class Proof(_Wire, tag=2):
-    """Shows knowledge of the shared key, over both nonces."""
+class Proof(_Message, tag=2):
+    """Proves knowledge of the shared key by a digest over both nonces."""
 
     digest: bytes
 
 
-class RequestStart(_Wire, tag=3):
-    """A request on its way to a guard.
+class RequestStart(_Message, tag=3):
+    """Head of a request to the process that owns the target.
 
     Attributes:
-        id: Stream number, never reused on a connection.
-        seq: Number of the request at its sender, never reused in a boot.
+        id: Stream ID; never reused on a connection.
+        seq: Sequence number of the request; never reused within one boot of
+            the sender.
         service: Name of the service.
         target: Name of the target.
         method: HTTP method.
-        path: Request target as the caller sent it.
+        path: Request target, as received from the caller.
         headers: End-to-end headers.
-        request_id: Identity that logs and answers carry.
-        remaining: Seconds left until the deadline, when sent.
-        idempotent: Whether a second run does no harm.
-        incarnation: Incarnation of the receiver that the sender knows.
-        length: Length of the body in bytes, -1 when chunked.
-        body: The first bytes of the body.
-        complete: Whether `body` is all of it; else the rest follows once the
-            receiver gives credit.
+        request_id: Request ID for logs and responses.
+        remaining: Seconds until the deadline, at the time of sending.
+        idempotent: Whether the request may safely run more than once.
+        incarnation: Incarnation of the receiver, as known to the sender.
+        length: Length of the body in bytes; -1 if it is chunked.
+        body: First bytes of the body.
+        complete: Whether `body` is the complete body. Otherwise the rest
+            follows in `BodyChunk` frames as the receiver grants credit.
         route: Name of the route.
-        origin: Service on the instance where the request began.
-        priority: Rank; 0 is the most urgent.
+        origin: Service on the instance that received the request.
+        priority: Priority; 0 is the highest.
         required_health: How much doubt about its target it accepts; see
             `admission.RequiredHealth`.
         objective_remaining: Seconds left, when sent, for an answer of full
             worth; negative
             when that has passed.
-        wait: Whether it waits for a slot, rather than being refused.
-        start_within: Seconds, when sent, within which it must have started.
-        fingerprint: Tells it from all others; the same when it comes again.
+        wait: Whether the request may wait for a free slot instead of being
+            rejected.
+        start_within: Seconds after sending within which it must start.
+        fingerprint: Fingerprint of the request; equal if it is sent again.
         exclusive: Whether it runs only where nothing else does: a target
             crashed
             that was running it.
-        organisation: Name of the organisation that calls, if any.
+        organisation: Name of the calling organisation, or empty.
     """
 
     id: int
@@ -200,13 +205,13 @@
     organisation: str = ""
 
 
-class BodyChunk(_Wire, tag=4):
-    """A piece of a body, either way.
+class BodyChunk(_Message, tag=4):
+    """Part of a request or response body.
 
     Attributes:
-        id: Stream number.
-        data: The bytes.
-        is_last: Whether the body is complete with this piece.
+        id: Stream ID.
+        data: Body bytes.
+        is_last: Whether this chunk completes the body.
     """
 
     id: int
@@ -214,24 +219,29 @@
     is_last: bool
 
 
-class Credit(_Wire, tag=5):
-    """Allows the other side to send more body bytes on a stream."""
+class Credit(_Message, tag=5):
+    """Flow control: allows the peer to send more body bytes on a stream.
+
+    Attributes:
+        id: Stream ID.
+        size: Number of additional bytes.
+    """
 
     id: int
     size: int
 
 
-class ResponseStart(_Wire, tag=6):
-    """Head of an answer.
+class ResponseStart(_Message, tag=6):
+    """Head of a response.
 
     Attributes:
-        id: Stream number.
-        request_id: Identity of the request that it answers.
+        id: Stream ID.
+        request_id: ID of the request.
         status: HTTP status.
         headers: End-to-end headers.
-        length: Declared length of the body, -1 when chunked.
-        target: Name of the target that answered.
-        load: Its load.
+        length: Declared length of the body in bytes; -1 if it is chunked.
+        target: Name of the target that responded.
+        load: Current load of the target.
     """
 
     id: int
@@ -243,17 +253,17 @@
     load: Load | None
 
 
-class Failure(_Wire, tag=7):
-    """A request ended without a whole answer.
+class Failure(_Message, tag=7):
+    """A request ended without a complete response.
 
     Attributes:
-        id: Stream number.
-        outcome: NOT_RUN or UNKNOWN.
-        reason: Why.
-        retry_after: Seconds after which to come back; 0 gives no hint.
-        incarnation: Incarnation of the sender now.
-        target: Name of the target, where one was chosen.
-        load: Its load.
+        id: Stream ID.
+        outcome: `NOT_RUN` or `UNKNOWN`.
+        reason: Why the request failed.
+        retry_after: Seconds after which the caller should retry; 0 for no hint.
+        incarnation: Current incarnation of the sender.
+        target: Name of the target, if one was selected.
+        load: Current load of the target.
     """
 
     id: int
@@ -265,34 +275,36 @@
     load: Load | None
 
 
-class Cancel(_Wire, tag=8):
-    """The sender gave up on a stream."""
+class Cancel(_Message, tag=8):
+    """The sender abandoned the request on a stream."""
 
     id: int
 
 
-class KeepAlive(_Wire, tag=11):
-    """A sign of life, unasked while an answer is owed, or asks for one.
+class KeepAlive(_Message, tag=11):
+    """Liveness check of a connection, or the reply to one.
+
+    Replies are also sent unsolicited while a response is pending.
 
     Attributes:
-        number: Its number; 0 where nobody asked.
-        is_reply: Whether this is the sign; else it asks for one.
+        number: Sequence number of the check; 0 if unsolicited.
+        is_reply: Whether this is a reply; otherwise it requests one.
     """
 
     number: int
     is_reply: bool
 
 
-class FenceRequest(_Wire, tag=9):
-    """Asks that a request never starts from now on.
+class FenceRequest(_Message, tag=9):
+    """Asks the receiver to ensure that a request never starts from now on.
 
     Attributes:
-        id: Stream number of this question.
-        boot: Boot of the sender of the request.
-        seq: Its number there.
-        to_boot: Boot of the guard that the request was sent to.
-        forward_to: Name of that guard's process where the receiver is to pass
-            the question on, as the sender's own path is silent; else empty.
+        id: Stream ID of this frame.
+        boot: Boot of the process that sent the request.
+        seq: Sequence number of the request at that process.
+        to_boot: Boot of the process that the request was sent to.
+        forward_to: Name of the process to forward the frame to, if the sender
+            can't reach it directly; otherwise empty.
     """
 
     id: int
@@ -302,24 +314,25 @@
     forward_to: str = ""
 
 
-class FenceReply(_Wire, tag=10):
-    """Answer to a FenceRequest.
+class FenceReply(_Message, tag=10):
+    """Reply to a FenceRequest.
 
     Attributes:
-        id: Stream number of the question.
-        not_run: Whether the request is proven never to start.
+        id: Stream ID of the request.
+        not_run: Whether it is certain that the request did not and will not
+            start.
     """
 
     id: int
     not_run: bool
 
 
-class LoadUpdate(_Wire, tag=12):
-    """A guard tells unasked how its target stands now.
+class LoadUpdate(_Message, tag=12):
+    """Unsolicited update of the load and state of a target.
 
     Attributes:
         target: Name of the target.
-        load: Its load and state.
+        load: Current load and state.
     """
 
     target: str
@@ -342,19 +355,19 @@
 )
 
 
-# What is known of processes and targets.
+# Membership.
 
 
-class TargetInfo(_Wire):
-    """A target as its guard describes it.
+class TargetInfo(_Message):
+    """Description of a target by the process that owns it.
 
     Attributes:
-        name: Name, unique in its service.
+        name: Name; unique within the service.
         service: Name of the service.
         domain: Failure domain.
-        slots: Requests it runs at once.
-        state: Where it stands.
-        version: Counter of the description; higher is newer.
+        slots: Number of requests that the target runs concurrently.
+        state: State of the target.
+        version: Version of the description; higher is newer.
     """
 
     name: str
@@ -365,23 +378,26 @@
     version: int
 
 
-class ProcessInfo(_Wire):
-    """A process as it describes itself.
+class ProcessInfo(_Message):
+    """Description of a process by itself.
 
     Attributes:
-        name: Name, unique in the fleet.
-        boot: Random identity of this run.
-        incarnation: Rises when it refutes a suspicion or was paused.
+        name: Name; unique within the fleet.
+        boot: Random ID of this run of the process.
+        incarnation: Increases when the process refutes a suspicion or was
+            paused.
         domain: Failure domain.
-        peer: Address of its peer listener, "ip:port".
-        control: Address of its control listener, "ip:port".
-        admin: Address of its admin listener, "ip:port".
-        version: Counter of the description; higher is newer in a boot.
-        started: Wall time of its start; a later boot of a name wins.
-        targets: Its targets.
-        config: Version of the configuration it has in force.
-        unreachable_peers: Names of peers it can't hear.
-        store_epoch: How often the store lost records, as far as it knows.
+        peer: Address of the listener for peer connections, "ip:port".
+        control: Address of the listener for control messages, "ip:port".
+        admin: Address of the admin listener, "ip:port".
+        version: Version of the description; increases within one boot.
+        started: Wall time of the start, seconds since the epoch. Of two boots
+            with the same name, the later one wins.
+        targets: Targets of the process.
+        config: Version of the configuration in force.
+        unreachable_peers: Names of peers that the process can't reach.
+        store_epoch: Latest known epoch of the store; increases whenever the
+            store loses records.
     """
 
     name: str
@@ -399,24 +415,24 @@
     store_epoch: int = 0
 
 
-class Sender(_Wire):
-    """Who sends a message that needs no more than an answer.
+class Sender(_Message):
+    """Name and address of the sender of a message.
 
     Attributes:
         name: Name of the process.
-        control: Address of its control listener, "ip:port".
+        control: Address of its listener for control messages, "ip:port".
     """
 
     name: str
     control: str
 
 
-class Rumor(_Wire):
-    """News of one process.
+class Rumor(_Message):
+    """Gossiped membership update about one process.
 
     Attributes:
-        liveness: How it is seen.
-        info: Its own latest description.
+        liveness: Membership state.
+        info: Latest description that the process published of itself.
     """
 
     liveness: Liveness
@@ -426,27 +442,27 @@
 # Records in the store.
 
 
-class Announcement(_Wire, tag=22):
-    """A process that can be joined through, without its targets."""
+class Announcement(_Message, tag=22):
+    """Stored description of a process that can be joined, without targets."""
 
     info: ProcessInfo
 
 
-# Control messages between processes, one way each.
+# One-way control messages between processes.
 
 
-class Ping(_Wire, tag=40):
-    """A heartbeat with news; the receiver answers with a Pong where one is due.
+class Ping(_Message, tag=40):
+    """Gossip heartbeat with membership updates.
 
     Attributes:
-        sender: Who sends it.
-        number: Its number.
-        sent: Monotonic seconds of the sender; 0 where no answer is due.
-        digest: Of all that the sender knows of processes.
-        rumors: News.
-        is_retry: Whether an earlier one was not answered, so that the answer
-            goes over a new connection.
-        evidence_digest: Digest of the sender's quarantine; 0 of an empty one.
+        sender: Description of the sending process.
+        number: Sequence number.
+        sent: Monotonic time of the sender in seconds; 0 if no Pong is expected.
+        digest: Digest of the sender's membership table.
+        rumors: Membership updates.
+        is_retry: Whether an earlier ping was not answered. The receiver then
+            replies over a new connection.
+        evidence_digest: Digest of the sender's quarantine; 0 if it is empty.
     """
 
     sender: ProcessInfo
@@ -459,12 +475,12 @@
 
     @property
     def wants_answer(self) -> bool:
-        """Whether a Pong is due."""
+        """Whether the sender expects a Pong."""
         return self.sent > 0
 
 
-class Pong(_Wire, tag=41):
-    """Answer to a Ping."""
+class Pong(_Message, tag=41):
+    """Reply to a Ping."""
 
     sender: Sender
     number: int
@@ -473,28 +489,28 @@
     evidence_digest: int = 0
 
 
-class SyncRequest(_Wire, tag=42):
-    """Asks for all that the receiver knows of processes, and its quarantine."""
+class SyncRequest(_Message, tag=42):
+    """Requests the complete membership table and quarantine evidence."""
 
     sender: ProcessInfo
     evidence_digest: int = 0
 
 
-class SyncReply(_Wire, tag=43):
-    """All that the sender knows of processes, in parts."""
+class SyncReply(_Message, tag=43):
+    """Part of the complete membership table of the sender."""
 
     sender: ProcessInfo
     rumors: tuple[Rumor, ...]
 
 
-class CatalogOffer(_Wire, tag=50):
-    """The configuration in force, for a process that is behind.
+class CatalogOffer(_Message, tag=50):
+    """The configuration in force, for a process that has an older version.
 
     Attributes:
-        sender: Who offers it.
-        version: Its version.
-        compressed: The record it was decoded from, compressed.
-        age: Seconds for which it has been in force anywhere.
+        sender: Sending process.
+        version: Version of the configuration.
+        compressed: Compressed configuration record.
+        age: Seconds since the version came into force at any process.
     """
 
     sender: Sender
@@ -503,29 +519,30 @@
     age: float = 0.0
 
 
-class LeavingTargets(_Wire, tag=51):
-    """Reminds a process that started again of targets it had let go.
+class LeavingTargets(_Message, tag=51):
+    """Reminds a restarted process of targets that were leaving.
 
     Attributes:
-        sender: Who remembers.
-        names: Names of targets that its earlier run had said are leaving.
+        sender: Sending process.
+        names: Names of targets that the previous run of the receiver reported
+            as leaving.
     """
 
     sender: Sender
     names: tuple[str, ...]
 
 
-class CatalogVersion(_Wire, tag=52):
-    """Which version of the configuration a process has in force.
+class CatalogVersion(_Message, tag=52):
+    """Version of the configuration that a process has in force.
 
     Attributes:
         sender: The process.
-        boot: Its run.
-        version: The version.
-        age: Seconds for which it has been in force anywhere.
-        confirm: Whether the receiver is to tell its own.
-        is_retry: Whether an earlier message was not answered, so that the
-            answer goes over a new connection.
+        boot: Boot of the process.
+        version: Version of the configuration.
+        age: Seconds since the version came into force at any process.
+        confirm: Whether the receiver should reply with its own version.
+        is_retry: Whether an earlier message was not answered. The receiver then
+            replies over a new connection.
     """
 
     sender: Sender
@@ -536,15 +553,15 @@
     is_retry: bool = False
 
 
-class CatalogRequest(_Wire, tag=53):
-    """Asks for the configuration in force at the receiver.
+class CatalogRequest(_Message, tag=53):
+    """Requests the configuration that is in force at the receiver.
 
     Attributes:
-        sender: Who asks.
-        boot: Its run.
-        version: The version it has; only a newer one is wanted.
-        is_retry: Whether an earlier request was not answered, so that the
-            answer goes over a new connection.
+        sender: Requesting process.
+        boot: Boot of that process.
+        version: Version that it has; only a newer one is sent.
+        is_retry: Whether an earlier request was not answered. The receiver then
+            replies over a new connection.
     """
 
     sender: Sender
@@ -553,14 +570,14 @@
     is_retry: bool = False
 
 
-class Crash(_Wire):
-    """The end of a target while it ran a request.
+class Crash(_Message):
+    """Crash of a target while it ran a request.
 
     Attributes:
-        id: Drawn by the process beside the target.
-        age: Seconds since then, when sent.
-        alone: Whether the target ran nothing else.
-        void: Whether the request turned out not to be the cause.
+        id: Random ID, chosen by the process that owns the target.
+        age: Seconds since the crash, at the time of sending.
+        alone: Whether the target ran no other request.
+        void: Whether the request was found not to be the cause.
     """
 
     id: int
@@ -569,27 +586,27 @@
     void: bool
 
 
-class Evidence(_Wire):
-    """What there is against a request.
+class Evidence(_Message):
+    """Crashes that a request may have caused.
 
     Attributes:
-        fingerprint: Of the request.
-        crashes: Targets that crashed while they ran it.
+        fingerprint: Fingerprint of the request.
+        crashes: Crashes of targets while they ran the request.
     """
 
     fingerprint: bytes
     crashes: tuple[Crash, ...]
 
 
-class SuspectedRequests(_Wire, tag=54):
-    """Requests that may have crashed targets.
+class SuspectedRequests(_Message, tag=54):
+    """Evidence about requests that may have crashed targets.
 
     Attributes:
-        sender: Who tells.
-        digest: Of all that the sender knows of such requests.
-        evidence: News, or a part of all.
-        wants_reply: Whether this is the last part of all it knows, and the
-            receiver is to tell its own where it knows more.
+        sender: Sending process.
+        digest: Digest of all evidence that the sender has.
+        evidence: New evidence, or a part of all evidence.
+        wants_reply: Whether this is the last part of all evidence, and the
+            receiver should send its own if it has more.
     """
 
     sender: Sender
@@ -598,13 +615,13 @@
     wants_reply: bool = False
 
 
-class IdleTarget(_Wire, tag=55):
-    """A target in service that nobody sends work to.
+class IdleTarget(_Message, tag=55):
+    """Tells a peer about a target in service that receives no requests.
 
     Attributes:
-        sender: The process beside it.
-        target: Its name.
-        load: Its load.
+        sender: Process that owns the target.
+        target: Name of the target.
+        load: Current load of the target.
     """
 
     sender: Sender
@@ -612,12 +629,12 @@
     load: Load
 
 
-class StoredEvidence(_Wire, tag=23):
-    """What the store keeps of a request that is held back.
+class StoredEvidence(_Message, tag=23):
+    """Stored evidence about a quarantined request.
 
     Attributes:
-        at: Time of day when it was written, seconds since the epoch.
-        evidence: What there was against it then.
+        at: Wall time of the write, seconds since the epoch.
+        evidence: Evidence at that time.
     """
 
     at: float
@@ -641,14 +658,14 @@
 )
 
 _encoder = msgspec.msgpack.Encoder()
-_frames = msgspec.msgpack.Decoder(Frame)
-_records = msgspec.msgpack.Decoder(Announcement)
-_kept = msgspec.msgpack.Decoder(StoredEvidence)
-_controls = msgspec.msgpack.Decoder(Control)
+_frame_decoder = msgspec.msgpack.Decoder(Frame)
+_announcement_decoder = msgspec.msgpack.Decoder(Announcement)
+_evidence_decoder = msgspec.msgpack.Decoder(StoredEvidence)
+_control_decoder = msgspec.msgpack.Decoder(Control)
 
 
 class MalformedMessage(errors.ForkliftError):
-    """Bytes that are no message of ours."""
+    """Received bytes are not a valid message."""
 
     def __init__(self, detail: str):
         super().__init__(
@@ -657,17 +674,17 @@
 
 
 def sender_of(info: ProcessInfo) -> Sender:
-    """The short form of a process's description."""
+    """Returns the name and control address of a process."""
     return Sender(info.name, info.control)
 
 
 def announcement_of(info: ProcessInfo) -> Announcement:
-    """What the store keeps of a process: enough to join through it."""
+    """Returns the stored form of a process description, without targets."""
     return Announcement(msgspec.structs.replace(info, targets=()))
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """Encodes any message.
+    """Encodes a message.
 
     >>> decode_frame(encode(Cancel(7)))
     Cancel(id=7)
@@ -676,25 +693,25 @@
 
 
 def decode_frame(data: bytes | memoryview) -> Frame:
-    """Decodes a frame between processes.
+    """Decodes a frame.
 
     Raises:
-        MalformedMessage: The bytes are no frame.
+        MalformedMessage: The bytes are not a valid frame.
     """
-    return _decode(_frames, data)
+    return _decode(_frame_decoder, data)
 
 
 def decode_announcement(name: str, data: bytes) -> Announcement:
-    """Decodes a record of the store.
+    """Decodes and validates a stored announcement.
 
     Args:
-        name: Key of the record, which is the name of its process.
-        data: The record.
+        name: Key of the record, which is the name of the process.
+        data: Stored record.
 
     Raises:
-        MalformedMessage: No process of ours wrote it.
+        MalformedMessage: The record is not a valid announcement of `name`.
     """
-    record = _decode(_records, data)
+    record = _decode(_announcement_decoder, data)
     info = record.info
     try:
         ini.endpoint(info.peer)
@@ -702,27 +719,29 @@
     except ValueError as error:
         raise MalformedMessage(f"address: {error}") from error
     if info.name != name or info.targets:
-        raise MalformedMessage("not what a process writes of itself")
+        raise MalformedMessage(
+            "the record does not describe the process that it is stored under"
+        )
     if not (math.isfinite(info.started) and info.config >= 0):
-        raise MalformedMessage("a number out of range")
+        raise MalformedMessage("a number is out of range")
     return record
 
 
 def decode_evidence(data: bytes) -> StoredEvidence:
-    """Decodes a record of a request that is held back.
+    """Decodes and validates stored evidence.
 
     Raises:
-        MalformedMessage: No process of ours wrote it.
+        MalformedMessage: The record is not valid evidence.
     """
-    kept = _decode(_kept, data)
+    kept = _decode(_evidence_decoder, data)
     ages = [crash.age for crash in kept.evidence.crashes]
     if not all(map(math.isfinite, (kept.at, *ages))):
-        raise MalformedMessage("a number out of range")
+        raise MalformedMessage("a number is out of range")
     return kept
 
 
 def age_evidence(evidence: Evidence, seconds: float) -> Evidence:
-    """Evidence some time after it was told.
+    """Returns evidence with the age of each crash increased.
 
     >>> crash = Crash(1, 2.0, True, False)
     >>> age_evidence(Evidence(b"f", (crash,)), 3.0).crashes[0].age
@@ -739,9 +758,9 @@
     """Decodes a control message.
 
     Raises:
-        MalformedMessage: The bytes are no control message.
+        MalformedMessage: The bytes are not a valid control message.
     """
-    return _decode(_controls, data)
+    return _decode(_control_decoder, data)
 
 
 def _decode(decoder: msgspec.msgpack.Decoder, data: bytes | memoryview):
--- a/forklift/platform/__init__.py
+++ b/forklift/platform/__init__.py
@@ -1,5 +1,5 @@
-"""What speaks to the users' platform: names, formats and calls.
+"""Adapters for the users' platform: its names, formats and calls.
 
-Nothing here decides. Names on the wire are decoded once, into types of the
-product; docs/PLATFORM.md lists which message means what.
+The modules decode messages of the platform into types of the product and make
+no decisions. docs/PLATFORM.md describes the messages.
 """
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's record into a catalog of the product."""
+"""Decodes the operator's configuration record into a catalog."""
 
 from typing import Annotated
 
@@ -9,27 +9,28 @@
 from forklift import organisations
 from forklift import routing
 
-_REPEATABLE = "idempotent"
-# Fields that are rewritten for peers.
-_TENANTS = "tenants"
-_KEYS = "api-keys"
-_DIGESTS = "key-digests"
-MILLI = 1000
-# Targets that one request may be sent to where the record names no number.
+_IDEMPOTENT_KIND = "idempotent"
+# Fields that `with_key_digests` rewrites.
+_TENANTS_FIELD = "tenants"
+_KEYS_FIELD = "api-keys"
+_DIGESTS_FIELD = "key-digests"
+MILLISECONDS_PER_SECOND = 1000
+# Default maximum number of targets that a request is sent to.
 DEFAULT_ATTEMPTS = 2
-# Seconds that a request may be held where its route names no time; callers
-# name their own, which is less.
+# Default request timeout in seconds; a shorter deadline of the caller takes
+# precedence.
 DEFAULT_TIMEOUT = 60.0
-DEFAULT_AIM = 1.0
+# Default latency objective in seconds.
+DEFAULT_OBJECTIVE = 1.0
 DEFAULT_PRIORITY = 1
 
 
-# Whole numbers that all formats hold exactly.
+# Integers that JSON numbers represent exactly.
 _Version = Annotated[int, msgspec.Meta(ge=1, le=2**53)]
 _Weight = Annotated[float, msgspec.Meta(ge=0)]
-_Time = Annotated[float, msgspec.Meta(gt=0)]
-_Amount = Annotated[float, msgspec.Meta(ge=0)]
-# What a header field can hold as its whole value.
+_PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
+_NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
+# Visible ASCII characters, as allowed in a header field value.
 _Key = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,500}$")]
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,200}$")]
 _Digest = Annotated[
@@ -37,66 +38,70 @@
 ]
 
 
-class _Wire(msgspec.Struct, frozen=True, rename="kebab"):
-    """Base of what the record holds; unknown fields are passed over."""
+class _RecordPart(msgspec.Struct, frozen=True, rename="kebab"):
+    """Base class of the parts of a record; unknown fields are ignored."""
 
 
-class _Part(_Wire):
+class _WeightedService(_RecordPart):
     service: str
     weight: _Weight
 
 
-class _Route(_Wire):
+class _Route(_RecordPart):
     host: str
     path_prefix: str
-    # Whether a request may run twice, as a word.
+    # "idempotent" if requests may safely run more than once.
     kind: str
     service: str = ""
-    # Services by weight, in place of the one service.
-    weighted_clusters: tuple[_Part, ...] = ()
-    # How long a request may be held in all.
-    timeout_ms: _Time = DEFAULT_TIMEOUT * MILLI
-    # Time for the full worth of an answer; no limit of any kind.
-    target_latency_ms: float = DEFAULT_AIM * MILLI
-    # Targets for one request in all, the first one too.
+    # Weighted services; used if `service` is empty.
+    weighted_clusters: tuple[_WeightedService, ...] = ()
+    # Timeout of a request, including retries.
+    timeout_ms: _PositiveFloat = DEFAULT_TIMEOUT * MILLISECONDS_PER_SECOND
+    # Latency objective; responses that miss it are still delivered.
+    target_latency_ms: float = DEFAULT_OBJECTIVE * MILLISECONDS_PER_SECOND
+    # Maximum number of targets that a request is sent to, including the first.
     retry_attempts: int = DEFAULT_ATTEMPTS
     priority: int = DEFAULT_PRIORITY
-    # Whether requests need no key.
+    # Whether requests are accepted without an API key.
     public: bool = False
 
 
-class _Organisation(_Wire):
+class _Organisation(_RecordPart):
     api_keys: tuple[_Key, ...] = ()
-    # In place of the keys, in records that processes hand to each other.
+    # Replace `api_keys` in records that are sent to peers.
     key_digests: tuple[_Digest, ...] = ()
-    # Goes before that of the route.
+    # Overrides the priority of the route.
     priority: int | None = None
-    # Over all processes together; 0 is no limit.
-    rate_per_s: _Amount = 0.0
-    # Requests beyond the rate, not a number at once.
-    burst: _Amount = 0.0
+    # Rate limit across all processes; 0 means no limit.
+    rate_per_s: _NonNegativeFloat = 0.0
+    # Number of requests allowed in excess of the rate.
+    burst: _NonNegativeFloat = 0.0
 
 
-class _Service(_Wire):
+class _Service(_RecordPart):
     # Path of the health endpoint.
     health_check: str = ""
-    # Connections that one target takes.
+    # Maximum number of connections per target.
     max_connections: int = 100
 
 
-class _Limits(_Wire):
+class _Limits(_RecordPart):
     max_header_bytes: int = catalog.DEFAULT_LIMITS.header_bytes
     max_body_bytes: int = catalog.DEFAULT_LIMITS.body_bytes
-    header_timeout_ms: float = catalog.DEFAULT_LIMITS.head_timeout * MILLI
-    idle_timeout_ms: float = catalog.DEFAULT_LIMITS.idle_timeout * MILLI
+    header_timeout_ms: float = (
+        catalog.DEFAULT_LIMITS.head_timeout * MILLISECONDS_PER_SECOND
+    )
+    idle_timeout_ms: float = (
+        catalog.DEFAULT_LIMITS.idle_timeout * MILLISECONDS_PER_SECOND
+    )
 
 
-class _Record(_Wire):
+class _Record(_RecordPart):
     version: _Version
     routes: dict[str, _Route]
     services: dict[str, _Service]
     limits: _Limits = _Limits()
-    # Where the record has none, nobody is asked for a key.
+    # If absent, API keys are not checked.
     tenants: dict[_Name, _Organisation] | msgspec.UnsetType = msgspec.UNSET
 
 
@@ -104,20 +109,20 @@
 
 
 class InvalidRecord(errors.ForkliftError):
-    """The operator's record can't be used; the one in force stays."""
+    """The configuration record is invalid; the current one stays in force."""
 
     def __init__(self, detail: str):
         super().__init__(
-            f"the configuration record is unusable ({detail}); "
-            "the version in force stays, write a valid one"
+            f"the configuration record is invalid ({detail}); "
+            "the current version stays in force; publish a valid record"
         )
 
 
 def decode(data: bytes) -> catalog.Catalog:
-    """Decodes the operator's record.
+    """Decodes a configuration record.
 
     Raises:
-        InvalidRecord: With what is wrong.
+        InvalidRecord: With the reason.
     """
     try:
         record = _decoder.decode(data)
@@ -133,8 +138,8 @@
     limits = catalog.CallerLimits(
         record.limits.max_header_bytes,
         record.limits.max_body_bytes,
-        record.limits.header_timeout_ms / MILLI,
-        record.limits.idle_timeout_ms / MILLI,
+        record.limits.header_timeout_ms / MILLISECONDS_PER_SECOND,
+        record.limits.idle_timeout_ms / MILLISECONDS_PER_SECOND,
     )
     table = routing.Table(routes, literal=True)
     return catalog.Catalog(
@@ -149,15 +154,15 @@
 
 
 def with_key_digests(data: bytes) -> bytes:
-    """The same record with digests in place of keys.
+    """Returns the record with API keys replaced by their digests.
 
-    What one version of the program does not know stays in it for another.
+    Unknown fields are kept, as other versions of the program may use them.
     """
     record = msgspec.json.decode(data)
-    for one in record.get(_TENANTS, {}).values():
-        keys = one.pop(_KEYS, ())
+    for one in record.get(_TENANTS_FIELD, {}).values():
+        keys = one.pop(_KEYS_FIELD, ())
         digests = [organisations.digest(key.encode()).hex() for key in keys]
-        one[_DIGESTS] = [*one.get(_DIGESTS, ()), *digests]
+        one[_DIGESTS_FIELD] = [*one.get(_DIGESTS_FIELD, ()), *digests]
     return msgspec.json.encode(record)
 
 
@@ -195,22 +200,26 @@
         not weighted_services
         or sum(share.weight for share in weighted_services) <= 0
     ):
-        raise InvalidRecord(f"route {name} leads to no service")
+        raise InvalidRecord(
+            f"route {name} has no service with a positive weight"
+        )
     for share in weighted_services:
         if share.service not in services:
             raise InvalidRecord(
-                f"route {name} names no service {share.service}"
+                f"route {name} refers to the unknown service {share.service}"
             )
     if not found.path_prefix.startswith("/"):
-        raise InvalidRecord(f"the prefix of route {name} is no path")
+        raise InvalidRecord(
+            f"the path prefix of route {name} does not start with '/'"
+        )
     return catalog.Route(
         name=name,
         host=found.host.lower(),
         prefix=found.path_prefix,
         weighted_services=weighted_services,
-        idempotent=found.kind == _REPEATABLE,
-        timeout=found.timeout_ms / MILLI,
-        objective=found.target_latency_ms / MILLI,
+        idempotent=found.kind == _IDEMPOTENT_KIND,
+        timeout=found.timeout_ms / MILLISECONDS_PER_SECOND,
+        objective=found.target_latency_ms / MILLISECONDS_PER_SECOND,
         priority=found.priority,
         attempts=found.retry_attempts,
         allows_anonymous=found.public,
--- a/forklift/platform/endpoints.py
+++ b/forklift/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""The calls that the platform makes to a process: heartbeats and readiness."""
+"""HTTP endpoints that the platform calls: heartbeats and readiness."""
 
 import dataclasses
 import enum
@@ -14,25 +14,25 @@
 from forklift import invalid_input
 from forklift.shell import server
 
-MILLI = 1000
+MILLISECONDS_PER_SECOND = 1000
 _HEARTBEAT = "/Instances.Heartbeat/"
-_LEAVE = "/Instances.Deregister/"
+_DEREGISTER = "/Instances.Deregister/"
 _READY = "/ready"
 _OK = server.Response(200, b"{}")
 _MALFORMED = server.Response(400, b"{}")
 
-# Bounds on what a target may say; beyond them it is no target that says it.
+# Limits on values in a heartbeat; larger ones are rejected.
 MAX_BODY_BYTES = 65_536
 MAX_SLOTS = 100_000
 MAX_WARMUP_MS = 3_600_000
-# What a log line tells of a path, characters.
-MAX_PATH = 200
-# Whole numbers that all formats hold exactly.
+# Maximum length of a path in log lines, in characters.
+MAX_LOGGED_PATH = 200
+# Integers up to this one are represented exactly by all JSON parsers.
 MAX_SAFE_INTEGER = 2**53
-_TARGET = re.compile(r"[!-~]{1,200}")
+_TARGET_NAME = re.compile(r"[!-~]{1,200}")
 _Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
 _Word = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-# Unix milliseconds of the start of this run of a target; 0 stands for none.
+# Start time of this run of a target in Unix milliseconds; 0 if unknown.
 _Born = Annotated[int, msgspec.Meta(ge=1, le=MAX_SAFE_INTEGER)]
 
 
@@ -41,11 +41,11 @@
     DRAINING = "draining"
 
 
-class _Wire(msgspec.Struct, frozen=True, rename="kebab"):
-    """Base of what a target says; unknown fields are passed over."""
+class _TargetMessage(msgspec.Struct, frozen=True, rename="kebab"):
+    """Base class of messages of a target; unknown fields are ignored."""
 
 
-class _Info(_Wire):
+class _Info(_TargetMessage):
     service: _Word
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     # The failure domain.
@@ -54,125 +54,129 @@
     version: str = ""
 
 
-class _Status(_Wire):
+class _Status(_TargetMessage):
     state: _State
-    # Rises with each call of one run of a target; a late call has a lower one.
+    # Increases with each call of one run of a target; detects reordered calls.
     sequence: _Count
-    # How much longer the target is slow after its start.
+    # Remaining warm-up time of the target.
     cold_remaining_ms: Annotated[
         float, msgspec.Meta(ge=0, le=MAX_WARMUP_MS)
     ] = 0.0
 
 
-class _Heartbeat(_Wire):
+class _Heartbeat(_TargetMessage):
     address: str
     info: _Info
     status: _Status
     born: _Born | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Leave(_Wire):
+class _Deregistration(_TargetMessage):
     born: _Born | msgspec.UnsetType = msgspec.UNSET
 
 
-_heartbeats = msgspec.json.Decoder(_Heartbeat)
-_leaves = msgspec.json.Decoder(_Leave)
+_heartbeat_decoder = msgspec.json.Decoder(_Heartbeat)
+_deregistration_decoder = msgspec.json.Decoder(_Deregistration)
 
 
 class InvalidCall(errors.ForkliftError):
-    """A call that no target of this platform makes."""
+    """A heartbeat or deregistration is malformed."""
 
     def __init__(self, detail: str):
         super().__init__(
-            f"the call names no target to use ({detail}); what its target "
-            "said before holds, find out who else writes"
+            f"invalid call of a target ({detail}); the last valid heartbeat "
+            "stays in force, find out who sends such calls"
         )
 
 
 @dataclasses.dataclass(frozen=True)
 class Endpoints:
-    """What the calls come to in the product.
+    """Handlers of the endpoints.
 
     Attributes:
-        seen: A target announced itself.
-        left: A life of a target is about to end.
-        ready: Whether callers should be sent here.
+        on_heartbeat: Called with each heartbeat of a target.
+        on_deregistration: Called when a run of a target is about to end.
+        is_ready: Returns whether the process is ready for callers.
     """
 
-    seen: Callable[[announcement.Heartbeat], None]
-    left: Callable[[announcement.TargetIncarnation], None]
-    ready: Callable[[], bool]
+    on_heartbeat: Callable[[announcement.Heartbeat], None]
+    on_deregistration: Callable[[announcement.TargetIncarnation], None]
+    is_ready: Callable[[], bool]
 
     async def heartbeat(self, request: server.Request) -> server.Response:
-        """Answers a call of the target on this instance."""
+        """Handles a heartbeat or deregistration of a local target."""
         path = request.target.partition("?")[0]
         try:
             if path.startswith(_HEARTBEAT):
                 target = path[len(_HEARTBEAT) :]
-                self.seen(decode_heartbeat(target, request.body))
+                self.on_heartbeat(decode_heartbeat(target, request.body))
                 return _OK
-            if path.startswith(_LEAVE):
-                target = path[len(_LEAVE) :]
-                self.left(decode_deregistration(target, request.body))
+            if path.startswith(_DEREGISTER):
+                target = path[len(_DEREGISTER) :]
+                self.on_deregistration(
+                    decode_deregistration(target, request.body)
+                )
                 return _OK
         except InvalidCall as error:
             invalid_input.record(
-                invalid_input.Source.HEARTBEAT, str(error), path=path[:MAX_PATH]
+                invalid_input.Source.HEARTBEAT,
+                str(error),
+                path=path[:MAX_LOGGED_PATH],
             )
             return _MALFORMED
         return server.Response(404, b"{}")
 
     async def readiness(self, request: server.Request) -> server.Response:
-        """Answers the platform's question whether this process is ready."""
+        """Handles a readiness check of the platform."""
         if request.target.partition("?")[0] != _READY:
             return server.Response(404, b"{}")
-        return server.Response(200 if self.ready() else 503, b"{}")
+        return server.Response(200 if self.is_ready() else 503, b"{}")
 
 
 def decode_heartbeat(target: str, body: bytes) -> announcement.Heartbeat:
     """Decodes a heartbeat of a target.
 
     Args:
-        target: Name of the target, as the path has it.
-        body: The body.
+        target: Name of the target, from the path.
+        body: Request body.
 
     Raises:
-        InvalidCall: No target said this.
+        InvalidCall: The heartbeat is malformed.
     """
-    said = _decode(_heartbeats, target, body)
+    message = _decode(_heartbeat_decoder, target, body)
     try:
-        address = ini.endpoint(said.address)
+        address = ini.endpoint(message.address)
     except ValueError as error:
         raise InvalidCall(f"address: {error}") from error
     return announcement.Heartbeat(
-        incarnation=announcement.TargetIncarnation(target, said.born or 0),
-        service=said.info.service,
+        incarnation=announcement.TargetIncarnation(target, message.born or 0),
+        service=message.info.service,
         address=address,
-        domain=said.info.zone,
-        slots=said.info.slots,
-        leaving=said.status.state is _State.DRAINING,
-        sequence=said.status.sequence,
-        cold=said.status.cold_remaining_ms / MILLI,
+        domain=message.info.zone,
+        slots=message.info.slots,
+        leaving=message.status.state is _State.DRAINING,
+        sequence=message.status.sequence,
+        cold=message.status.cold_remaining_ms / MILLISECONDS_PER_SECOND,
     )
 
 
 def decode_deregistration(
     target: str, body: bytes
 ) -> announcement.TargetIncarnation:
-    """Decodes the last call of a target, which may have no body.
+    """Decodes a deregistration of a target, which may have no body.
 
     Raises:
-        InvalidCall: No target said this.
+        InvalidCall: The deregistration is malformed.
     """
-    said = _decode(_leaves, target, body or b"{}")
-    return announcement.TargetIncarnation(target, said.born or 0)
+    message = _decode(_deregistration_decoder, target, body or b"{}")
+    return announcement.TargetIncarnation(target, message.born or 0)
 
 
 def _decode(decoder: msgspec.json.Decoder, target: str, body: bytes):
-    if not _TARGET.fullmatch(target):
-        raise InvalidCall("no name of a target")
+    if not _TARGET_NAME.fullmatch(target):
+        raise InvalidCall("invalid target name")
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidCall(f"over {MAX_BODY_BYTES} bytes")
+        raise InvalidCall(f"the body exceeds {MAX_BODY_BYTES} bytes")
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/forklift/platform/platform_headers.py
+++ b/forklift/platform/platform_headers.py
@@ -1,4 +1,4 @@
-"""The platform's names of header fields, as the product's dialect."""
+"""Names of the HTTP header fields on the platform."""
 
 from forklift import header_fields
 
--- a/forklift/platform/store.py
+++ b/forklift/platform/store.py
@@ -1,8 +1,8 @@
-"""The platform's log store, as the product's registry.
+"""Client of the platform's log store.
 
-The store keeps records by topic. A topic whose name starts with `keyed.`
-keeps the newest record of each key for good; the operator's record and the
-addresses of our processes lie in two such topics.
+The store keeps records by topic. In a topic whose name starts with `keyed.`,
+the newest record of each key is retained indefinitely. One such topic holds the
+operator's configuration, another the addresses of forklift processes.
 """
 
 import base64
@@ -23,87 +23,86 @@
 
 _log = structlog.get_logger(__name__)
 
-# The operator's topic and the key of the configuration in it.
-_OPERATOR = "keyed.op"
-_CONFIGURATION = "config"
-# Our own topic: addresses of processes by name.
-_MEMBERS = "keyed.forklift-members"
-_PART = 0
+# Topic of the operator, and the key of the configuration in it.
+_OPERATOR_TOPIC = "keyed.op"
+_CONFIGURATION_KEY = "config"
+# Topic of the addresses of forklift processes, by name.
+_MEMBERS_TOPIC = "keyed.forklift-members"
+_PARTITION = 0
 
 _LENGTH = struct.Struct("!I")
-# A read begins with the end of the partition and the first offset kept.
+# A read starts with the end offset and the first retained offset.
 _BOUNDS = struct.Struct("!QQ")
-# Rises each time that the store came back from a copy, without what it had
-# acknowledged since; in all its answers.
-_EPOCH = b"store-era"
-_EPOCH_DIGITS = 18
+# Response header with the epoch of the store, which increases whenever the
+# store is restored from a backup and loses later writes.
+_EPOCH_HEADER = b"store-era"
+_MAX_EPOCH_DIGITS = 18
 _OK = 200
 _GONE = 410
-_CONDITION = 412
-# Seconds to wait for an answer that the store does not hold back by itself:
-# five times what a slow store takes. A call that hung while the store was
-# silent and the longest pause after it are within the 2 s after its return in
-# which processes that lost each other must have met.
+_PRECONDITION_FAILED = 412
+# Timeout in seconds of all calls but long polls. It is short, as processes must
+# find each other within 2 s after the store recovers, including one call that
+# hangs until its timeout and the longest pause between retries.
 REQUEST_TIMEOUT = 1.0
-# Seconds to wait for the first append: the store takes appends in turn, and all
-# processes of a fleet make theirs in one moment. Later ones come spread.
+# Timeout in seconds of the first append. It is longer, as the store serializes
+# appends and all processes of a fleet may start at the same time.
 FIRST_APPEND_TIMEOUT = 2.0
-# Seconds for which the answer to a read may be late after the time that the
-# store holds it back: five times what a slow store takes.
+# Seconds added to the wait time of a long poll to get its timeout.
 LONG_POLL_MARGIN = 1.0
 
 
-class _Moved(errors.ForkliftError):
-    """The topic no longer ends where a conditional append expects it."""
+class _PreconditionFailed(errors.ForkliftError):
+    """The topic no longer ends at the position of a conditional append."""
 
 
-class _Key(msgspec.Struct, frozen=True):
+class _ItemKey(msgspec.Struct, frozen=True):
     key: str
 
 
-class _Item(_Key, frozen=True):
-    # In base64.
+class _Item(_ItemKey, frozen=True):
+    # Base64.
     value: str
     offset: int
 
 
-class _Newest(msgspec.Struct, frozen=True, rename="kebab"):
-    # Each is decoded by itself: one that another wrote may be of any shape.
+class _NewestPage(msgspec.Struct, frozen=True, rename="kebab"):
+    # Decoded one by one, as other writers may have stored invalid items.
     items: tuple[msgspec.Raw, ...]
     end: int
-    # Whether a further page follows, after the last key of this one.
+    # Whether there is another page after the last key of this one.
     has_more: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
-class _Answer:
-    """What the store answered, and in which era."""
+class _StoreResponse:
+    """Body of a response and the epoch of the store."""
 
     body: bytes
     epoch: int
 
 
 class Store:
-    """The platform's store; see `interfaces.Registry`."""
+    """The platform's store; implements `interfaces.Registry`."""
 
     def __init__(self, address: str):
         self._client = client.Client(address)
-        # See `interfaces.Registry`.
         self.on_lost: Callable[[], None] = lambda: None
-        # The highest era of any answer, and that in which the position was
-        # found where the configuration is read on.
+        # Highest epoch of any response, and the epoch in which the current
+        # position in the configuration topic was read.
         self.epoch: int | None = None
-        self._read_in: int | None = None
+        self._position_epoch: int | None = None
         self.calls = 0
         self.failures = 0
         self._append_timeout = FIRST_APPEND_TIMEOUT
 
     async def configuration(self) -> interfaces.ConfigurationRead:
         """See `interfaces.Registry`."""
-        newest, self._read_in = await self._newest(_OPERATOR, REQUEST_TIMEOUT)
-        value_by_key, _ = _values(newest)
+        newest, self._position_epoch = await self._read_newest(
+            _OPERATOR_TOPIC, REQUEST_TIMEOUT
+        )
+        value_by_key, _ = _decode_items(newest)
         return interfaces.ConfigurationRead(
-            value_by_key.get(_CONFIGURATION), newest.end
+            value_by_key.get(_CONFIGURATION_KEY), newest.end
         )
 
     async def next_configuration(
@@ -111,23 +110,24 @@
     ) -> interfaces.ConfigurationRead:
         """See `interfaces.Registry`."""
         query = {
-            "topic": _OPERATOR,
-            "part": _PART,
+            "topic": _OPERATOR_TOPIC,
+            "part": _PARTITION,
             "from": position,
             "wait-ms": int(wait * 1000),
         }
         self._check_epoch(self.epoch)
-        found = await self._ask(
+        found = await self._call(
             "GET", "/log-read", query, wait + LONG_POLL_MARGIN
         )
         self._check_epoch(found.epoch)
-        end, _, records = _split(found.body)
+        end, _, records = _split_records(found.body)
         found = None
         for record in records:
-            key, value = _keyed(record)
-            if key == _CONFIGURATION:
+            key, value = _split_key(record)
+            if key == _CONFIGURATION_KEY:
                 found = value
-        # A read may be bounded in size, so what was read tells how far it is.
+        # The response may be truncated, so the position follows from the
+        # records that it holds.
         after = position + len(records) if records else max(position, end)
         return interfaces.ConfigurationRead(found, after)
 
@@ -136,8 +136,10 @@
         members: dict[str, bytes] = {}
         after = ""
         while True:
-            page, _ = await self._newest(_MEMBERS, REQUEST_TIMEOUT, after)
-            value_by_key, last = _values(page)
+            page, _ = await self._read_newest(
+                _MEMBERS_TOPIC, REQUEST_TIMEOUT, after
+            )
+            value_by_key, last = _decode_items(page)
             members.update(value_by_key)
             if not page.has_more or last in ("", after):
                 return members
@@ -145,56 +147,63 @@
 
     async def announce(self, name: str, data: bytes) -> None:
         """See `interfaces.Registry`."""
-        body = _record(name, data)
-        query = {"topic": _MEMBERS, "part": _PART}
+        body = _encode_record(name, data)
+        query = {"topic": _MEMBERS_TOPIC, "part": _PARTITION}
         timeout, self._append_timeout = self._append_timeout, REQUEST_TIMEOUT
-        await self._ask("POST", "/log-append", query, timeout, body)
+        await self._call("POST", "/log-append", query, timeout, body)
 
     async def publish(self, data: bytes, position: int) -> bool:
         """See `interfaces.Registry`."""
-        body = _record(_CONFIGURATION, data)
-        # The store appends only where the topic still ends at the position.
-        query = {"topic": _OPERATOR, "part": _PART, "as-of": position}
-        if self.epoch != self._read_in:
-            # The position is none of the records that are there now.
+        body = _encode_record(_CONFIGURATION_KEY, data)
+        # The store appends only if the topic still ends at the position.
+        query = {
+            "topic": _OPERATOR_TOPIC,
+            "part": _PARTITION,
+            "as-of": position,
+        }
+        if self.epoch != self._position_epoch:
+            # The position is invalid in the current epoch.
             return False
         try:
-            found = await self._ask(
+            found = await self._call(
                 "POST", "/log-append", query, FIRST_APPEND_TIMEOUT, body
             )
-        except _Moved:
+        except _PreconditionFailed:
             return False
-        if found.epoch != self._read_in:
+        if found.epoch != self._position_epoch:
             raise errors.RegistryUnavailable(
-                "it went back to a copy meanwhile, and may have written it"
+                "it was restored from a backup meanwhile; the write may "
+                "have taken effect"
             )
         return True
 
     def close(self) -> None:
-        """Closes connections."""
+        """Closes all connections."""
         self._client.close()
 
-    async def _newest(
+    async def _read_newest(
         self, topic: str, timeout: float, after: str = ""
-    ) -> tuple[_Newest, int]:
-        query: dict[str, object] = {"topic": topic, "part": _PART}
+    ) -> tuple[_NewestPage, int]:
+        query: dict[str, object] = {"topic": topic, "part": _PARTITION}
         if after:
             query["after"] = after
-        found = await self._ask("GET", "/log-newest", query, timeout)
+        found = await self._call("GET", "/log-newest", query, timeout)
         try:
-            return msgspec.json.decode(found.body, type=_Newest), found.epoch
+            return msgspec.json.decode(
+                found.body, type=_NewestPage
+            ), found.epoch
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             invalid_input.record(invalid_input.Source.STORE, str(error))
             raise errors.RegistryUnavailable(f"malformed: {error}") from error
 
-    async def _ask(
+    async def _call(
         self,
         method: str,
         path: str,
         query: dict[str, object],
         timeout: float,
         body: bytes = b"",
-    ) -> _Answer:
+    ) -> _StoreResponse:
         self.calls += 1
         target = f"{path}?{urllib.parse.urlencode(query)}"
         try:
@@ -207,24 +216,26 @@
         epoch = self._update_epoch(response)
         if response.status == _GONE:
             raise errors.RegistryGap()
-        if response.status == _CONDITION:
-            raise _Moved()
+        if response.status == _PRECONDITION_FAILED:
+            raise _PreconditionFailed()
         if response.status != _OK:
             self.failures += 1
             raise errors.RegistryUnavailable(f"status {response.status}")
-        return _Answer(response.body, epoch)
+        return _StoreResponse(response.body, epoch)
 
     def _update_epoch(self, response: client.Response) -> int:
-        """Takes in the era of an answer; a lower one is only late.
+        """Records and returns the epoch of a response.
 
         Raises:
-            errors.RegistryUnavailable: It is of an earlier era.
+            errors.RegistryUnavailable: The response is from an earlier epoch.
         """
         epoch = _epoch(response)
         before = self.epoch
         if before is not None and epoch < before:
             self.failures += 1
-            raise errors.RegistryUnavailable("an answer of before it went back")
+            raise errors.RegistryUnavailable(
+                "stale response from before its restore"
+            )
         self.epoch = epoch
         if before is not None and epoch > before:
             _log.warning("store_went_back", era=epoch, before=before)
@@ -232,37 +243,39 @@
         return epoch
 
     def _check_epoch(self, epoch: int | None) -> None:
-        """Whether a position says the same as when it was found.
+        """Checks that the current position is valid in an epoch.
 
         Raises:
-            errors.RegistryGap: Offsets were given out again since.
+            errors.RegistryGap: The position was read in another epoch.
         """
-        if self._read_in is None:
-            self._read_in = epoch
-        if epoch != self._read_in:
+        if self._position_epoch is None:
+            self._position_epoch = epoch
+        if epoch != self._position_epoch:
             raise errors.RegistryGap()
 
 
 def _epoch(response: client.Response) -> int:
-    """The era of an answer; a store that tells none is in the first."""
-    told = http.value(response.headers, _EPOCH) or b"0"
-    if not told.isdigit() or len(told) > _EPOCH_DIGITS:
-        invalid_input.record(invalid_input.Source.STORE, "the era is no number")
-        raise errors.RegistryUnavailable("malformed: the era is no number")
-    return int(told)
+    """Returns the epoch of a response; 0 if the store sends none."""
+    text = http.value(response.headers, _EPOCH_HEADER) or b"0"
+    if not text.isdigit() or len(text) > _MAX_EPOCH_DIGITS:
+        invalid_input.record(
+            invalid_input.Source.STORE, "the epoch is not a number"
+        )
+        raise errors.RegistryUnavailable("malformed: the epoch is not a number")
+    return int(text)
 
 
-def _record(key: str, value: bytes) -> bytes:
-    """One record of a keyed topic as an append takes it."""
+def _encode_record(key: str, value: bytes) -> bytes:
+    """Encodes a record of a keyed topic for an append."""
     raw = key.encode()
     record = bytes((len(raw),)) + raw + value
     return _LENGTH.pack(len(record)) + record
 
 
-def _split(body: bytes) -> tuple[int, int, list[bytes]]:
-    """Splits the answer to a read into its bounds and whole records."""
+def _split_records(body: bytes) -> tuple[int, int, list[bytes]]:
+    """Splits the response to a read into end, first offset and records."""
     if len(body) < _BOUNDS.size:
-        raise errors.RegistryUnavailable("a read was cut short")
+        raise errors.RegistryUnavailable("the response to a read is truncated")
     end, first = _BOUNDS.unpack_from(body)
     records = []
     start = _BOUNDS.size
@@ -270,33 +283,33 @@
         (size,) = _LENGTH.unpack_from(body, start)
         start += _LENGTH.size
         if start + size > len(body):
-            raise errors.RegistryUnavailable("a record was cut short")
+            raise errors.RegistryUnavailable("a record is truncated")
         records.append(body[start : start + size])
         start += size
     return end, first, records
 
 
-def _keyed(record: bytes) -> tuple[str, bytes]:
+def _split_key(record: bytes) -> tuple[str, bytes]:
     """Splits a record of a keyed topic into key and value.
 
-    One that another wrote without a whole key has none that anybody reads.
+    Records with an incomplete key get an empty one, which nobody reads.
     """
     if not record or len(record) < 1 + record[0]:
         invalid_input.record(
-            invalid_input.Source.STORE, "a record has no whole key"
+            invalid_input.Source.STORE, "a record has an incomplete key"
         )
         return "", b""
     end = 1 + record[0]
     return record[1:end].decode("utf-8", "replace"), record[end:]
 
 
-def _values(page: _Newest) -> tuple[dict[str, bytes], str]:
-    """Values by key, without those that can't be read, and the last key."""
+def _decode_items(page: _NewestPage) -> tuple[dict[str, bytes], str]:
+    """Returns the valid values by key, and the last key of the page."""
     value_by_key: dict[str, bytes] = {}
     last = ""
     for raw in page.items:
         try:
-            last = msgspec.json.decode(raw, type=_Key).key
+            last = msgspec.json.decode(raw, type=_ItemKey).key
             item = msgspec.json.decode(raw, type=_Item)
             value = base64.b64decode(item.value, validate=True)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/forklift/report.py
+++ b/forklift/report.py
@@ -1,26 +1,26 @@
-"""What a process says of itself: typed, for people and for programs."""
+"""JSON objects of the admin interface."""
 
 import msgspec
 
 
 class _Report(msgspec.Struct, frozen=True):
-    """Base of all reports; encoded as JSON objects."""
+    """Base class of all reports, encoded as JSON objects."""
 
 
 class Problem(_Report):
-    """Why a call was refused, with the remedy."""
+    """Why a call was rejected, and how to fix it."""
 
     error: str
 
 
 class Change(_Report):
-    """A doubt about a target was raised or lifted.
+    """Ejection or reinstatement of a target.
 
     Attributes:
         at: Wall time, seconds since the epoch.
-        doubted: Whether the target is doubted since.
-        sign: What caused it.
-        risk: How likely the target was in a bad phase then, 0 to 1.
+        doubted: Whether the target is ejected from then on.
+        sign: Signal that caused the change.
+        risk: Probability that the target was unhealthy at that time, 0 to 1.
     """
 
     at: float
@@ -30,22 +30,22 @@
 
 
 class Explanation(_Report):
-    """Why a target stands where it stands, by its own guard.
+    """State of a target and its causes, reported by the target's process.
 
     Attributes:
-        target: Its name.
-        service: Its service.
-        process: The process beside it.
-        state: How it stands.
-        sign: Why it is doubted; `well` where it is not.
-        running: Requests that it runs.
-        waiting: Requests that wait for it.
-        slots: Requests that it runs at once.
-        idle: Seconds since a request last began there.
-        risk: How likely it is in a bad phase, 0 to 1.
-        latency_by_route: Median latencies, seconds.
-        refusals: Requests refused here, by reason.
-        changes: Doubts raised and lifted, the oldest first.
+        target: Name of the target.
+        service: Name of the service.
+        process: Name of the process that owns the target.
+        state: State of the target.
+        sign: Signal that caused the ejection; `well` if it is not ejected.
+        running: Number of running requests.
+        waiting: Number of queued requests.
+        slots: Number of requests that the target runs concurrently.
+        idle: Seconds since the target last started a request.
+        risk: Probability that the target is unhealthy, 0 to 1.
+        latency_by_route: Median latency of each route, in seconds.
+        refusals: Number of rejected requests, by reason.
+        changes: Ejections and reinstatements, oldest first.
     """
 
     target: str
@@ -64,17 +64,18 @@
 
 
 class Target(_Report):
-    """A target as a process sees it.
+    """A target as seen by one process.
 
     Attributes:
-        name: Its name.
-        service: Its service.
-        process: Process beside it.
+        name: Name of the target.
+        service: Name of the service.
+        process: Name of the process that owns the target.
         near: Whether it is in the same failure domain.
-        state: How it stands, by the last word of its guard.
-        load: Requests on it, as far as known here.
-        slots: Requests that it runs at once.
-        path: Why this process avoids the path to it, or empty.
+        state: Last known state.
+        load: Last known number of requests on the target.
+        slots: Number of requests that the target runs concurrently.
+        path: Why this process avoids the connection to the target's process;
+            empty if it does not.
     """
 
     name: str
@@ -88,13 +89,13 @@
 
 
 class Process(_Report):
-    """Another process as this one sees it.
+    """A process as seen by another one.
 
     Attributes:
-        name: Its name.
-        domain: Its failure domain.
-        admin: Its admin address.
-        liveness: How it is seen.
+        name: Name of the process.
+        domain: Failure domain.
+        admin: Address of its admin listener.
+        liveness: Membership state.
         config: Version of the configuration that it has in force.
     """
 
@@ -106,17 +107,17 @@
 
 
 class Status(_Report):
-    """The fleet as one process sees it.
+    """The fleet as seen by one process.
 
     Attributes:
-        process: Its name.
-        version: Its software's version.
-        ready: Whether callers should be sent to it.
-        config: Version of the configuration in force; 0 while none is known.
+        process: Name of the process.
+        version: Version of its software.
+        ready: Whether it is ready for callers.
+        config: Version of the configuration in force; 0 if there is none.
         policy: Name of the policy in force.
-        targets: Targets it knows.
-        processes: Processes it knows.
-        broken: Promises it saw broken, with counts.
+        targets: Known targets.
+        processes: Known processes.
+        broken: Number of violations by invariant.
     """
 
     process: str
@@ -130,15 +131,15 @@
 
 
 class OrganisationUse(_Report):
-    """What a process let in of one organisation of late.
+    """Recent requests of an organisation at one process.
 
     Attributes:
-        name: Its name; empty for all that are not listed.
-        admitted: Requests that were let in.
-        refused: Requests that were refused, as it sends more than it may.
-        rate: Requests a second that it may send, at all processes together.
-        part: The part of it that this process uses by itself, 0 to 1.
-        arrivals: Requests a second that came here of late.
+        name: Name of the organisation; empty for the sum of those not listed.
+        admitted: Number of admitted requests.
+        refused: Number of requests rejected by the rate limit.
+        rate: Rate limit across all processes, requests per second.
+        part: Share of the rate limit leased to this process, 0 to 1.
+        arrivals: Recent arrival rate at this process, requests per second.
     """
 
     name: str
@@ -150,21 +151,23 @@
 
 
 class State(_Report):
-    """The full dump of a process.
+    """Complete state dump of a process.
 
     Attributes:
-        status: Its status.
-        beside: Its own targets, explained.
-        requests: Ended requests by outcome and reason.
-        repeats_refused: Repeats that the budget refused, by service.
-        sends: Attempts at targets, and how many of them were repeats.
-        running: Requests in flight in any role.
-        connections: Connections of callers.
-        incarnation: Rises with each pause of the process.
-        held: Seconds for which requests are held back that crashed targets,
-            by fingerprint.
-        store: Calls to the store, and how many of them failed.
-        organisations: The busiest that have limits, and the rest as one.
+        status: Status of the process.
+        beside: Explanations of the targets that it owns.
+        requests: Number of completed requests by outcome and reason.
+        repeats_refused: Number of retries refused by the retry budget, by
+            service.
+        sends: Number of attempts at targets, and how many were retries.
+        running: Number of requests in flight.
+        connections: Number of open connections of callers.
+        incarnation: Increases with each pause of the process.
+        held: Remaining quarantine time of requests that crashed targets, in
+            seconds, by fingerprint.
+        store: Number of calls to the store, and how many failed.
+        organisations: The busiest organisations with a limit, and the sum of
+            the others.
     """
 
     status: Status
@@ -181,16 +184,16 @@
 
 
 class Announce(_Report):
-    """A target announces itself at the admin address, or renews.
+    """Registration or heartbeat of a target through the admin interface.
 
     Attributes:
-        service: Its service.
-        address: Where it is reached, ip:port.
-        slots: Requests that it runs at once.
-        leaving: Whether it takes no new requests.
-        sequence: Rises with each announcement; a lower one is late.
-        born: Unix milliseconds of its start, which tell a target that started
-            again under its name from the one before; 0 where it has another.
+        service: Name of the service.
+        address: Address of the target, ip:port.
+        slots: Number of requests that the target runs concurrently.
+        sequence: Increases with each announcement; lower ones are ignored.
+        leaving: Whether the target accepts no new requests.
+        born: Start time of the target in Unix milliseconds, which distinguishes
+            restarts under the same name; 0 if each run has its own name.
     """
 
     service: str
--- a/forklift/settings.py
+++ b/forklift/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, read from INI and checked in full at start."""
+"""Settings of one process, parsed from INI and validated at startup."""
 
 import dataclasses
 import pathlib
@@ -8,22 +8,22 @@
 
 
 def _optional_address(value: str) -> str:
-    """An address, or nothing."""
+    """Parses an address, which may be empty."""
     return ini.address(value) if value.strip() else ""
 
 
 def _optional_text(value: str) -> str:
-    """Any text, or nothing."""
+    """Parses text, which may be empty."""
     return value.strip()
 
 
-# The system chooses such a port anew for each listener.
-EPHEMERAL_PORT = ":0"
+# Suffix of addresses whose port the operating system assigns.
+EPHEMERAL_PORT_SUFFIX = ":0"
 
 
 @dataclasses.dataclass(frozen=True)
 class Process:
-    """Section [process]: who and where this process is."""
+    """Section [process]: identity and addresses of the process."""
 
     name: str = ini.key(ini.name, "name, unique in the fleet")
     domain: str = ini.key(ini.name, "failure domain of the instance")
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Platform:
-    """Section [platform]: what the platform gives, and where it calls."""
+    """Section [platform]: connection to the platform and its targets."""
 
     store: str = ini.key(ini.address, "address of the store, ip:port")
     heartbeats: str = ini.key(
@@ -85,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """Section [limits]: bounds on what is accepted."""
+    """Section [limits]: caller connections and cross-domain cost."""
 
     callers: int = ini.key(
         ini.integer(1, 100_000), "connections of callers at once", 2000
@@ -99,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Budget:
-    """Section [budget]: bounds on repeats, over all processes together."""
+    """Section [budget]: retry budget and calls between services."""
 
     ratio: float = ini.key(
         ini.number(0, 10), "repeats for each request of a service", 0.1
@@ -117,8 +117,8 @@
     )
 
 
-def _never(value: str) -> bool:
-    """Only `false`: what the other value asks for is not offered."""
+def _only_false(value: str) -> bool:
+    """Parses a flag whose only supported value is `false`."""
     if value.strip().lower() != "false":
         raise ValueError(
             "set it to false: a process that is cut off for long still takes "
@@ -129,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Organisations:
-    """Section [organisations]: what may be run beyond their limits."""
+    """Section [organisations]: tolerances of the rate limits."""
 
     window: float = ini.key(
         ini.number(0.1, 3600), "seconds over which requests are counted", 5.0
@@ -143,7 +143,7 @@
         ini.number(0, 1_000_000), "requests beside, in each window", 20.0
     )
     strict_revoke: bool = ini.key(
-        _never,
+        _only_false,
         "whether a key that was taken away is refused by processes that can't "
         "learn of it, too; only false is offered",
         False,
@@ -155,11 +155,11 @@
     """All settings of a process.
 
     Attributes:
-        process: Who and where it is.
-        platform: What the platform gives, and where it calls.
-        limits: Bounds on what is accepted.
-        budget: Bounds on repeats.
-        organisations: What may be run beyond their limits.
+        process: Identity and addresses of the process.
+        platform: Connection to the platform and its targets.
+        limits: Caller connections and cross-domain cost.
+        budget: Retry budget and calls between services.
+        organisations: Tolerances of the rate limits.
     """
 
     process: Process
@@ -179,10 +179,10 @@
 
 
 def parse(file: str, content: str) -> Settings:
-    """Reads settings from text.
+    """Parses settings from text.
 
     Raises:
-        errors.FileProblems: With every mistake in it.
+        errors.FileProblems: With every problem found.
     """
     reader = ini.Reader(file, content)
     for section in reader.sections:
@@ -200,10 +200,10 @@
 
 
 def load(path: str) -> Settings:
-    """Reads settings from a file.
+    """Reads and parses a settings file.
 
     Raises:
-        errors.UserError: The file can't be read or holds mistakes.
+        errors.UserError: The file can't be read or is invalid.
     """
     return parse(path, read_file(path))
 
@@ -212,7 +212,7 @@
     """Returns the text of a file.
 
     Raises:
-        errors.UserError: It can't be read.
+        errors.UserError: The file can't be read.
     """
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
@@ -235,7 +235,7 @@
         for field in ("heartbeats", "ready")
     ]
     for section, field, address in listeners:
-        if address in seen and not address.endswith(EPHEMERAL_PORT):
+        if address in seen and not address.endswith(EPHEMERAL_PORT_SUFFIX):
             reader.report(
                 section,
                 field,
--- a/test/helper.py
+++ b/test/helper.py
@@ -1,4 +1,4 @@
-"""What tests share: a clock to turn, waits for a state, descriptions."""
+"""Helpers for tests: a manual clock, waiting, and default descriptions."""
 
 import asyncio
 import contextlib
@@ -10,13 +10,13 @@
 from forklift.shell import exchange
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
-WAIT = 30.0
+DEFAULT_TIMEOUT = 30.0
 
 invariants.RAISE_ON_VIOLATION = True
 
 
 class Sink:
-    """A caller, or a peer, that takes note of what it is given."""
+    """Caller or peer that records the response that it receives."""
 
     def __init__(self):
         self.begun = False
@@ -36,7 +36,7 @@
 
 
 class FakeClock:
-    """Time that a test turns; see `interfaces.Clock`."""
+    """Clock that a test advances; implements `interfaces.Clock`."""
 
     def __init__(self):
         self.now = 1000.0
@@ -49,7 +49,7 @@
 
 
 def info(name: str, *targets: str, **changes: object) -> messages.ProcessInfo:
-    """A process with targets of service s, as its peers know it."""
+    """Returns the description of a process with targets of service s."""
     fields = {
         "name": name,
         "boot": sum(name.encode()),
@@ -68,7 +68,7 @@
 
 
 def target_info(name: str, **changes: object) -> messages.TargetInfo:
-    """A target of service s in service."""
+    """Returns the description of a target of service s in service."""
     fields = {
         "name": name,
         "service": "s",
@@ -81,27 +81,33 @@
     return messages.TargetInfo(**fields)
 
 
-def takes(usual: latency.Distribution, seconds: float) -> None:
-    """Teaches how long a kind of work takes."""
+def train_latency(usual: latency.Distribution, seconds: float) -> None:
+    """Records samples so that a route has a known latency."""
     for _ in range(100):
         usual.record(seconds)
 
 
-async def until(check, timeout: float = WAIT) -> None:
-    """Waits for a state, however long it takes; the bound is for defects."""
+async def until(check, timeout: float = DEFAULT_TIMEOUT) -> None:
+    """Waits until a condition holds.
+
+    The timeout is long, so that it is reached only if there is a defect.
+    """
     async with asyncio.timeout(timeout):
         while not check():
             await asyncio.sleep(0.01)
 
 
 def run(work) -> object:
-    """Runs a coroutine in a loop of its own."""
+    """Runs a coroutine in a new event loop."""
     return asyncio.run(work)
 
 
 @contextlib.contextmanager
-def counting():
-    """Lets promises break without raising, and yields the counter."""
+def counting_violations():
+    """Counts violations of invariants instead of raising an error.
+
+    Yields a function that returns the violations so far.
+    """
     invariants.RAISE_ON_VIOLATION = False
     before = invariants.violations_by_invariant.copy()
     try:
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -27,7 +27,7 @@
 
 def takes(found: admission.Controller, seconds: float) -> None:
     """Teaches the gate how long its requests take."""
-    helper.takes(found.latencies.for_route("", 0.3), seconds)
+    helper.train_latency(found.latencies.for_route("", 0.3), seconds)
 
 
 def break_off(found: admission.Controller, now: float) -> None:
--- a/test/test_binary.py
+++ b/test/test_binary.py
@@ -43,7 +43,7 @@
 
 
 async def ready(running: programs.Programs, place: programs.Place) -> None:
-    async with asyncio.timeout(helper.WAIT):
+    async with asyncio.timeout(helper.DEFAULT_TIMEOUT):
         while not await running.ready(place):
             await asyncio.sleep(0.05)
 
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -1,4 +1,4 @@
-"""The docs name every key, promise, reason and command there is."""
+"""The documentation covers all keys, invariants, reasons and commands."""
 
 import pathlib
 import re
@@ -27,7 +27,7 @@
         ("POLICY.md", (policy.PolicySection, policy.ServicePolicy)),
     ],
 )
-def test_every_key_is_described(name, kinds):
+def test_all_settings_are_documented(name, kinds):
     text = page(name)
     for kind in kinds:
         for key, field in ini.keys_by_name(kind).items():
@@ -36,19 +36,19 @@
             assert field.metadata["key"].doc in text, key
 
 
-def test_every_reason_and_state_is_explained():
+def test_all_reasons_and_states_are_documented():
     text = page("OPERATIONS.md")
     for word in [*messages.Reason, *messages.TargetState]:
         assert f"`{word}`" in text, word
 
 
-def test_every_command_is_explained():
+def test_all_commands_are_documented():
     text = page("OPERATIONS.md")
     for name in ui.cli.commands:
         assert f"forklift {name}" in text, name
 
 
-def test_every_promise_is_named():
+def test_all_invariants_are_documented():
     text = page("OPERATIONS.md")
     source = pathlib.Path(invariants.__file__).read_text()
     for line in source.splitlines():
@@ -58,7 +58,7 @@
                 assert f"`{promise}`" in text, promise
 
 
-def test_lock_file_names_versions_only():
+def test_lock_file_pins_versions():
     lock = (DOCS.parent / "requirements.lock").read_text().splitlines()
     assert lock
     for line in lock:
@@ -67,7 +67,7 @@
         assert version, line
 
 
-# What the users' platform calls things; the product has names of its own.
+# Names of the platform that only the adapter may use.
 _WIRE_NAMES = (
     "forklift-attempt",
     "forklift-deadline-ms",
@@ -87,7 +87,7 @@
 )
 
 
-def test_no_wire_name_outside_the_adapter():
+def test_platform_names_are_confined_to_the_adapter():
     package = DOCS.parent / "forklift"
     for path in package.rglob("*.py"):
         if path.parent.name == "platform":
@@ -97,16 +97,16 @@
             assert name not in text, f"{path}: {name}"
 
 
-def test_what_can_not_be_kept_is_refused_with_its_remedy():
+def test_unsupported_setting_is_rejected_with_a_remedy():
     template = (DOCS.parent / "deploy/forklift.ini").read_text()
-    strict = fill(template, {"bounds.strict-revoke": "true"})
+    strict = render(template, {"bounds.strict-revoke": "true"})
     with pytest.raises(errors.FileProblems) as found:
         settings.parse("forklift.ini", strict)
     assert "strict_revoke" in str(found.value)
     assert "set it to false" in str(found.value)
 
 
-def test_run_time_lock_agrees_with_the_whole_one():
+def test_runtime_requirements_match_the_lock_file():
     whole = set((DOCS.parent / "requirements.lock").read_text().splitlines())
     for line in (
         (DOCS.parent / "deploy/requirements.txt").read_text().split("\n")
@@ -115,8 +115,8 @@
             assert line in whole, line
 
 
-def fill(template: str, values: dict[str, str]) -> str:
-    """Fills a template as the platform does: gaps, and parts about one."""
+def render(template: str, values: dict[str, str]) -> str:
+    """Renders a template as the platform does: variables and sections."""
 
     def part(found: re.Match) -> str:
         value = values.get(found[1], "")
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("limits", [{}, LIMITS], ids=["none", "limits"])
-def test_the_deploy_template_fills_to_settings_without_mistakes(limits):
+def test_deploy_template_renders_to_valid_settings(limits):
     template = (DOCS.parent / "deploy/forklift.ini").read_text()
     values = {
         "node-id": "n-1",
@@ -158,7 +158,7 @@
         "listen.control": "10.0.0.1:5",
         "listen.readiness": "10.0.0.1:6",
     }
-    template = fill(template, values | limits)
+    template = render(template, values | limits)
     assert "{{" not in template
     read = settings.parse("forklift.ini", template)
     assert (read.organisations.window == 4) == bool(limits)
--- a/test/test_fences.py
+++ b/test/test_fences.py
@@ -26,7 +26,7 @@
     known = fences.Fences()
     known.try_start(ONE, 0.0)
     assert not known.fence(ONE, 1.0)
-    with helper.counting() as broken:
+    with helper.counting_violations() as broken:
         assert not known.check_not_started(ONE)
         assert broken()["not-run"] == 1
 
--- a/test/test_fuzz.py
+++ b/test/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Every decoder of outside bytes: no crash, no hang, typed errors only."""
+"""Decoders of external bytes terminate and raise only typed errors."""
 
 import asyncio
 import random
@@ -34,7 +34,7 @@
 
 @strategies.composite
 def mutated(draw):
-    """Valid messages with some bytes changed, cut or doubled."""
+    """Generates valid messages with bytes changed, removed or appended."""
     data = bytearray(draw(strategies.sampled_from(VALID)))
     for _ in range(draw(strategies.integers(0, 4))):
         index = draw(strategies.integers(0, len(data) - 1))
@@ -45,7 +45,7 @@
 
 @hypothesis.given(strategies.binary(max_size=400) | mutated())
 @few
-def test_messages(data):
+def test_messages_round_trip_or_are_rejected(data):
     for decode in (
         messages.decode_frame,
         lambda record: messages.decode_announcement("p", record),
@@ -58,7 +58,7 @@
         assert decode(messages.encode(message)) == message
 
 
-def test_deeply_nested_message_is_refused():
+def test_deeply_nested_message_is_rejected():
     for decode in (messages.decode_frame, messages.decode_control):
         try:
             decode(b"\x91" * 100_000)
@@ -69,11 +69,11 @@
 
 @hypothesis.given(strategies.binary(max_size=400))
 @few
-def test_answers_of_the_store(data):
+def test_store_responses_raise_documented_errors(data):
     try:
-        _, _, records = store._split(data)
+        _, _, records = store._split_records(data)
         for record in records:
-            store._keyed(record)
+            store._split_key(record)
     except errors.RegistryUnavailable:
         return
 
@@ -82,7 +82,7 @@
     strategies.binary(max_size=300) | strategies.text().map(str.encode)
 )
 @few
-def test_records_of_the_operator(data):
+def test_configuration_records_raise_documented_errors(data):
     try:
         store.decode(data)
     except configuration.InvalidRecord:
@@ -91,7 +91,7 @@
 
 @hypothesis.given(strategies.binary(max_size=300))
 @few
-def test_heartbeats(data):
+def test_heartbeat_is_accepted_or_rejected(data):
     seen = []
     calls = endpoints.Endpoints(seen.append, seen.append, lambda: True)
     path = "/Instances.Heartbeat/t"
@@ -102,7 +102,7 @@
 
 @hypothesis.given(strategies.binary(max_size=300))
 @few
-def test_heads(data):
+def test_request_heads_raise_documented_errors(data):
     try:
         http.check_head(data)
     except errors.BadRequest:
@@ -122,7 +122,7 @@
 
 @hypothesis.given(ini_text)
 @few
-def test_files(text):
+def test_ini_files_raise_documented_errors(text):
     for parse in (settings.parse, policy.parse):
         try:
             parse("f", text)
@@ -132,15 +132,15 @@
 
 @hypothesis.given(strategies.text(max_size=60))
 @few
-def test_expressions(text):
+def test_expressions_raise_documented_errors(text):
     try:
         policy.expressions.Expression(text, {"status": 1}, False)
     except policy.expressions.ExpressionError:
         return
 
 
-def test_callers_bytes_mutated_over_a_socket():
-    """Requests with bytes changed at random; the process serves on."""
+def test_process_survives_mutated_requests():
+    """A process that received randomly mutated requests must still serve."""
     rng = random.Random(5)
     whole = (
         b"POST /a/1 HTTP/1.1\r\nhost: h\r\nx-request-id: i\r\n"
@@ -171,8 +171,8 @@
     helper.run(work())
 
 
-def test_head_that_h11_accepts_twice_is_one_request():
-    """A folded head is refused before the parser unfolds it."""
+def test_folded_header_is_rejected():
+    """h11 accepts obsolete line folding, so it must be rejected before."""
     folded = b"GET / HTTP/1.1\r\nhost: a\r\nx: 1\r\n y: 2\r\n\r\n"
     parser = h11.Connection(h11.SERVER)
     parser.receive_data(folded)
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -1,8 +1,7 @@
-"""What other writers send names nothing to use, and the rest holds.
+"""Invalid input from outside is rejected without an effect on other input.
 
-Each document is a valid one with one thing wrong, or any bytes at all: nothing
-is raised past the boundary, and what was known before is neither forgotten nor
-changed.
+Each document is arbitrary bytes or a valid document with one change. Decoders
+raise only their documented errors, and the previous state stays in force.
 """
 
 import asyncio
@@ -30,10 +29,10 @@
 from test import helper
 
 few = hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
-DEEP = b"[" * 100_000
+DEEPLY_NESTED = b"[" * 100_000
 
-# Values that no field of a document takes.
-WRONG = (
+# Values that are invalid for most fields.
+INVALID_VALUES = (
     None,
     True,
     -1,
@@ -80,7 +79,7 @@
 
 
 def _paths(document, path=()) -> list[tuple]:
-    """Every place of a document, the whole one too."""
+    """Returns the paths of all values in a document, including the root."""
     found = [path]
     if isinstance(document, dict):
         for key, value in document.items():
@@ -105,47 +104,47 @@
     return document
 
 
-def one_thing_wrong(document):
-    """Documents in which one place is missing or holds something else."""
+def with_one_change(document):
+    """Generates documents with one value removed or replaced."""
     return strategies.builds(
         lambda path, value, drop: json.dumps(
             _changed(document, path, value, drop)
         ).encode(),
         strategies.sampled_from(_paths(document)),
-        strategies.sampled_from(WRONG),
+        strategies.sampled_from(INVALID_VALUES),
         strategies.booleans(),
     )
 
 
-ANY_BYTES = strategies.binary(max_size=300) | strategies.just(DEEP)
+ANY_BYTES = strategies.binary(max_size=300) | strategies.just(DEEPLY_NESTED)
 
 
-# Targets.
+# Heartbeats.
 
 
-class Doors:
-    """The doors of a process, and what came through them."""
+class Receiver:
+    """Records what the endpoints pass on."""
 
     def __init__(self):
         self.seen: list[announcement.Heartbeat] = []
         self.left: list[announcement.TargetIncarnation] = []
-        self._doors = endpoints.Endpoints(
+        self._endpoints = endpoints.Endpoints(
             self.seen.append, self.left.append, lambda: True
         )
 
     def call(self, path: str, body: bytes) -> int:
         request = server.Request("POST", path, (), body)
-        return helper.run(self._doors.heartbeat(request)).status
+        return helper.run(self._endpoints.heartbeat(request)).status
 
 
-@hypothesis.given(one_thing_wrong(HEARTBEAT) | ANY_BYTES)
+@hypothesis.given(with_one_change(HEARTBEAT) | ANY_BYTES)
 @few
-def test_heartbeats(body):
-    one = Doors()
+def test_heartbeat_is_accepted_or_rejected(body):
+    one = Receiver()
     status = one.call("/Instances.Heartbeat/i-1", body)
     assert status == (200 if one.seen else 400)
     for said in one.seen:
-        # Only what is optional was missing, or a text was another one.
+        # Changes of optional or free-text fields are accepted.
         assert said.incarnation.target == "i-1"
         assert 1 <= said.slots <= endpoints.MAX_SLOTS
         assert 0 <= said.sequence <= endpoints.MAX_SAFE_INTEGER
@@ -170,20 +169,20 @@
         (("address",), "10.0.0.1:0"),
     ],
 )
-def test_a_heartbeat_of_another_writer_is_refused(path, value):
-    """An unknown state once counted as ready."""
-    one = Doors()
+def test_heartbeat_with_an_invalid_field_is_rejected(path, value):
+    """Guards against unknown states being taken as ready."""
+    one = Receiver()
     body = json.dumps(_changed(HEARTBEAT, path, value, False)).encode()
     assert one.call("/Instances.Heartbeat/i-1", body) == 400
     assert one.seen == []
 
 
 @hypothesis.given(
-    strategies.text(max_size=300), one_thing_wrong({"born": 5}) | ANY_BYTES
+    strategies.text(max_size=300), with_one_change({"born": 5}) | ANY_BYTES
 )
 @few
-def test_last_words(target, body):
-    one = Doors()
+def test_deregistration_is_accepted_or_rejected(target, body):
+    one = Receiver()
     status = one.call(f"/Instances.Deregister/{target}", body)
     assert status == (200 if one.left else 400)
 
@@ -194,7 +193,7 @@
     | strategies.just(b"1,1," + b"9" * 5000),
 )
 @few
-def test_health_answers(name, load):
+def test_health_response_headers_are_sanitized(name, load):
     try:
         response = h11.Response(
             status_code=200,
@@ -211,18 +210,18 @@
 
 
 @pytest.mark.parametrize("value", [b"timeout=" + b"9" * 5000, b"timeout=x"])
-def test_a_time_to_keep_a_connection_that_is_no_time(value):
-    """A target's answer failed for the digits of its own header."""
+def test_invalid_keep_alive_timeout_is_ignored(value):
+    """Guards against failed requests due to an invalid keep-alive header."""
     headers = ((b"keep-alive", value),)
     assert upstream._idle_time(headers) == upstream.IDLE_FOR
 
 
-# The operator.
+# Configuration records.
 
 
-@hypothesis.given(one_thing_wrong(RECORD) | ANY_BYTES)
+@hypothesis.given(with_one_change(RECORD) | ANY_BYTES)
 @few
-def test_the_operators_record(data):
+def test_configuration_record_is_accepted_or_rejected(data):
     try:
         found = configuration.decode(data)
     except configuration.InvalidRecord:
@@ -233,11 +232,11 @@
         assert all(share.weight >= 0 for share in route.weighted_services)
 
 
-# The store, and what others wrote to it.
+# Responses of the store, and records of other writers.
 
 
-class Answers:
-    """A client of the store that is answered as a test says."""
+class FakeClient:
+    """Client of the store that returns the given response bodies."""
 
     def __init__(self, *bodies: bytes):
         self._bodies = list(bodies)
@@ -246,12 +245,12 @@
         return client.Response(200, (), self._bodies.pop(0))
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing, as no connection is open."""
 
 
 def store_with(*bodies: bytes) -> adapter.Store:
     store = adapter.Store("127.0.0.1:9")
-    store._client = Answers(*bodies)
+    store._client = FakeClient(*bodies)
     return store
 
 
@@ -267,9 +266,9 @@
 PAGE = {"items": [item("config"), item("b")], "end": 9, "has-more": False}
 
 
-@hypothesis.given(one_thing_wrong(PAGE) | ANY_BYTES)
+@hypothesis.given(with_one_change(PAGE) | ANY_BYTES)
 @few
-def test_answers_with_the_newest_of_each_key(body):
+def test_read_of_newest_records_raises_documented_errors(body):
     for ask in (adapter.Store.members, adapter.Store.configuration):
         try:
             helper.run(ask(store_with(body, page())))
@@ -279,7 +278,7 @@
 
 @hypothesis.given(ANY_BYTES)
 @few
-def test_answers_to_a_read(body):
+def test_read_of_next_record_raises_documented_errors(body):
     try:
         helper.run(store_with(body).next_configuration(0, 0.0))
     except errors.RegistryUnavailable:
@@ -296,12 +295,12 @@
         {},
     ],
 )
-def test_one_entry_that_can_not_be_read_takes_none_of_the_others(other):
+def test_invalid_item_is_skipped(other):
     found = helper.run(store_with(page(item("a"), other, item("c"))).members())
     assert found == {"a": b"x", "c": b"x"}
 
 
-def test_an_entry_that_can_not_be_read_ends_no_list_of_pages():
+def test_invalid_item_does_not_end_paging():
     bodies = (
         page(item("a"), item("b", value="no base64!"), **{"has-more": True}),
         page(item("c")),
@@ -310,8 +309,8 @@
     assert found == {"a": b"x", "c": b"x"}
 
 
-def test_a_record_without_a_whole_key_does_not_hide_the_one_behind_it():
-    """The read began at the same place again, for ever."""
+def test_record_with_incomplete_key_is_skipped():
+    """Guards against reading the same position forever."""
     records = (b"\xffbroken", b"", b"\x06configthe record")
     body = adapter._BOUNDS.pack(3, 0) + b"".join(
         adapter._LENGTH.pack(len(record)) + record for record in records
@@ -320,7 +319,7 @@
     assert (found.record, found.position) == (b"the record", 3)
 
 
-# Members.
+# Announcements of processes.
 
 
 def _member(**changes: object) -> bytes:
@@ -329,7 +328,7 @@
     return messages.encode(messages.Announcement(info))
 
 
-def test_a_member_is_what_its_process_wrote():
+def test_valid_announcement_is_accepted():
     assert messages.decode_announcement("p", _member()).info.name == "p"
 
 
@@ -346,12 +345,12 @@
         {"name": "q"},
     ],
 )
-def test_a_member_that_no_process_wrote_is_refused(changes):
+def test_invalid_announcement_is_rejected(changes):
     with pytest.raises(messages.MalformedMessage):
         messages.decode_announcement("p", _member(**changes))
 
 
-def test_one_line_a_cause_however_often_it_comes(monkeypatch):
+def test_log_lines_grow_logarithmically_with_the_count(monkeypatch):
     lines = []
     monkeypatch.setattr(
         invalid_input._log, "warning", lambda *_, **fields: lines.append(fields)
@@ -369,8 +368,8 @@
     assert [line["count"] for line in lines] == [2**n for n in range(10)]
 
 
-def test_what_can_not_be_read_ends_no_reading_of_the_store():
-    """An entry of another writer once ended the task that follows the store."""
+def test_invalid_configuration_item_is_not_an_error():
+    """Guards against an invalid item that ends the task following the store."""
     bad = page(item("config", value="no base64!"))
     found = asyncio.run(store_with(bad).configuration())
     assert found.record is None
--- a/test/test_layout.py
+++ b/test/test_layout.py
@@ -1,4 +1,4 @@
-"""What may stand where: the platform's names, and who imports whom."""
+"""Platform names and imports are confined to their layers."""
 
 import ast
 import pathlib
@@ -8,9 +8,9 @@
 
 PACKAGE = pathlib.Path(__file__).parent.parent / "forklift"
 ADAPTER = PACKAGE / "platform"
-# Names on the platform's wire, and words of its pages that have a standard
-# term.
-THEIRS = re.compile(
+# Names in the platform's protocol, and platform terms that the product replaces
+# by standard ones.
+PLATFORM_NAMES = re.compile(
     r"forklift-(attempt|deadline|expected|caller-service|response|not-exec"
     r"|instance|server-load)|instances\.(heartbeat|deregister)|log-(append"
     r"|read|newest|trim|join|commit)|keyed\.|app-addr|path-prefix"
@@ -19,24 +19,26 @@
     r"|\b(sidecar|check-in|tenant|zone|back.?end)s?\b",
     re.IGNORECASE,
 )
-# Modules that decide, by the packages that they must not know.
-CARRYING = ("asyncio", "socket", "h11", "pynng", "forklift.shell")
+# Packages that the decision logic must not import.
+IO_PACKAGES = ("asyncio", "socket", "h11", "pynng", "forklift.shell")
 
 
 def modules(folder: pathlib.Path, pattern: str) -> list[pathlib.Path]:
     return sorted(folder.glob(pattern))
 
 
-def outside_the_adapter() -> list[pathlib.Path]:
+def modules_outside_adapter() -> list[pathlib.Path]:
     return [p for p in modules(PACKAGE, "**/*.py") if ADAPTER not in p.parents]
 
 
-@pytest.mark.parametrize("module", outside_the_adapter(), ids=lambda p: p.name)
-def test_the_platforms_names_stay_in_the_adapter(module):
+@pytest.mark.parametrize(
+    "module", modules_outside_adapter(), ids=lambda p: p.name
+)
+def test_platform_names_are_confined_to_the_adapter(module):
     found = [
         f"{number}: {line.strip()}"
         for number, line in enumerate(module.read_text().splitlines(), 1)
-        if THEIRS.search(line)
+        if PLATFORM_NAMES.search(line)
     ]
     assert found == []
 
@@ -44,7 +46,7 @@
 @pytest.mark.parametrize(
     "module", modules(PACKAGE, "*.py"), ids=lambda p: p.name
 )
-def test_what_decides_knows_nothing_of_what_carries(module):
+def test_decision_logic_does_not_import_io(module):
     if module.name in ("__init__.py", "__main__.py"):
         return
     imported = set()
@@ -54,4 +56,4 @@
         elif isinstance(node, ast.ImportFrom):
             imported |= {f"{node.module}.{name.name}" for name in node.names}
             imported.add(node.module)
-    assert not {name for name in imported if name in CARRYING}
+    assert not {name for name in imported if name in IO_PACKAGES}
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -1,4 +1,4 @@
-"""What the platform says, decoded once."""
+"""Decoding of configuration records and of the calls of the platform."""
 
 import json
 
@@ -33,12 +33,12 @@
 }
 
 
-def changed(**fields) -> bytes:
+def record_with(**fields) -> bytes:
     return json.dumps({**RECORD, **fields}).encode()
 
 
-def test_decodes_the_operators_record():
-    found = configuration.decode(changed(unheard="of"))
+def test_configuration_record_is_decoded():
+    found = configuration.decode(record_with(unheard="of"))
     route = found.routes.find("h.example:80", "/a/b?c")
     assert found.version == 7
     assert route.name == "r"
@@ -50,28 +50,28 @@
 
 
 @pytest.mark.parametrize("path", ["/a", "/", "/ab/", "/b/a/"])
-def test_a_prefix_is_literal(path):
-    found = configuration.decode(changed())
+def test_path_prefix_matches_literally(path):
+    found = configuration.decode(record_with())
     assert found.routes.find("h.example", path) is None
 
 
-def test_the_longest_prefix_wins():
+def test_longest_prefix_wins():
     routes = {
         "short": ROUTE,
         "long": {**ROUTE, "path-prefix": "/a/b/"},
     }
-    found = configuration.decode(changed(routes=routes))
+    found = configuration.decode(record_with(routes=routes))
     assert found.routes.find("h.example", "/a/b/c").name == "long"
     assert found.routes.find("h.example", "/a/bc").name == "short"
 
 
-def test_a_split_route_is_drawn_by_weight():
+def test_weighted_services_keep_their_weights():
     parts = [{"service": "s", "weight": 90}, {"service": "t", "weight": 10}]
     route = {**ROUTE, "weighted-clusters": parts}
     del route["service"]
     services = {"s": {}, "t": {}}
     found = configuration.decode(
-        changed(routes={"r": route}, services=services)
+        record_with(routes={"r": route}, services=services)
     )
     shares = found.routes.find("h.example", "/a/").weighted_services
     assert [(s.service, s.weight) for s in shares] == [("s", 90), ("t", 10)]
@@ -81,12 +81,12 @@
     "data",
     [
         b"",
-        changed()[:-9],
+        record_with()[:-9],
         b"[]",
-        changed(version=0),
-        changed(routes={"r": {**ROUTE, "service": "unheard"}}),
-        changed(routes={"r": {**ROUTE, "path-prefix": "a"}}),
-        changed(
+        record_with(version=0),
+        record_with(routes={"r": {**ROUTE, "service": "unheard"}}),
+        record_with(routes={"r": {**ROUTE, "path-prefix": "a"}}),
+        record_with(
             routes={
                 "r": {
                     **ROUTE,
@@ -97,13 +97,13 @@
         ),
     ],
 )
-def test_an_unusable_record_is_refused_with_a_reason(data):
+def test_invalid_record_is_rejected(data):
     with pytest.raises(configuration.InvalidRecord):
         configuration.decode(data)
 
 
-class Seen:
-    """What the doors let in."""
+class Receiver:
+    """Records what the endpoints pass on."""
 
     def __init__(self):
         self.announcements: list[announcement.Heartbeat] = []
@@ -129,11 +129,11 @@
 }
 
 
-def test_a_heartbeat_becomes_an_announcement():
-    seen = Seen()
+def test_heartbeat_is_decoded():
+    receiver = Receiver()
     path = "/Instances.Heartbeat/i-1"
-    assert seen.call(path, json.dumps(HEARTBEAT).encode()).status == 200
-    assert seen.announcements == [
+    assert receiver.call(path, json.dumps(HEARTBEAT).encode()).status == 200
+    assert receiver.announcements == [
         announcement.Heartbeat(
             announcement.TargetIncarnation("i-1"),
             "s",
@@ -147,37 +147,39 @@
     ]
 
 
-def test_a_heartbeat_tells_when_its_target_was_born():
-    seen = Seen()
+def test_heartbeat_carries_start_time():
+    receiver = Receiver()
     body = json.dumps({**HEARTBEAT, "born": 1764720000123}).encode()
-    assert seen.call("/Instances.Heartbeat/i-1", body).status == 200
-    (said,) = seen.announcements
+    assert receiver.call("/Instances.Heartbeat/i-1", body).status == 200
+    (said,) = receiver.announcements
     assert said.incarnation == announcement.TargetIncarnation(
         "i-1", 1764720000123
     )
 
 
-def test_a_malformed_heartbeat_is_refused():
-    seen = Seen()
-    assert seen.call("/Instances.Heartbeat/i-1", b"{").status == 400
-    assert seen.announcements == []
+def test_malformed_heartbeat_is_rejected():
+    receiver = Receiver()
+    assert receiver.call("/Instances.Heartbeat/i-1", b"{").status == 400
+    assert receiver.announcements == []
 
 
-def test_leaving_needs_no_body():
-    seen = Seen()
-    assert seen.call("/Instances.Deregister/i-1").status == 200
-    assert seen.left == [announcement.TargetIncarnation("i-1")]
+def test_deregistration_needs_no_body():
+    receiver = Receiver()
+    assert receiver.call("/Instances.Deregister/i-1").status == 200
+    assert receiver.left == [announcement.TargetIncarnation("i-1")]
 
 
-def test_leaving_may_tell_when_its_target_was_born():
-    seen = Seen()
+def test_deregistration_may_carry_start_time():
+    receiver = Receiver()
     body = b'{"born": 1764720000123}'
-    assert seen.call("/Instances.Deregister/i-1", body).status == 200
-    assert seen.left == [announcement.TargetIncarnation("i-1", 1764720000123)]
+    assert receiver.call("/Instances.Deregister/i-1", body).status == 200
+    assert receiver.left == [
+        announcement.TargetIncarnation("i-1", 1764720000123)
+    ]
 
 
 @pytest.mark.parametrize(("ready", "status"), [(True, 200), (False, 503)])
-def test_readiness(ready, status):
-    seen = Seen()
-    seen.ready = ready
-    assert seen.ask() == status
+def test_readiness_sets_the_status(ready, status):
+    receiver = Receiver()
+    receiver.ready = ready
+    assert receiver.ask() == status
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -155,7 +155,7 @@
             found = one.beside.site_by_target[f"t{number}"].controller
             found.slots = 1
             # One run takes longer than any request has.
-            helper.takes(found.latencies.for_route("r", 1.0), 100.0)
+            helper.train_latency(found.latencies.for_route("r", 1.0), 100.0)
         for target in fleet.targets:
             target.script.append("hold")
         held = [asyncio.create_task(fleet.ask(0)) for _ in range(3)]
@@ -359,7 +359,9 @@
     shared = list(entries)
     for target in fleet.targets:
         target.script = shared
-    helper.takes(fleet.proxies[0].balancer.latencies.for_route("r", 1.0), 0.02)
+    helper.train_latency(
+        fleet.proxies[0].balancer.latencies.for_route("r", 1.0), 0.02
+    )
 
 
 def test_a_slow_request_that_may_repeat_is_also_sent_to_a_second_target():
--- a/test/test_retries.py
+++ b/test/test_retries.py
@@ -69,7 +69,7 @@
     """Overload: a slot for a late one makes the next one late, too."""
     found = made()
     usual = latency.Distribution(0.5)
-    helper.takes(usual, 0.5)
+    helper.train_latency(usual, 0.5)
     assert found.start_by(usual, aim=1.5) == pytest.approx(1.0)
     assert found.start_by(usual, aim=0.1) == retries.MIN_QUEUE_TIME
 
@@ -107,7 +107,7 @@
     """All are doubted or gone: held on, it would mostly end unserved."""
     found = made()
     usual = latency.Distribution(0.5)
-    helper.takes(usual, 0.5)
+    helper.train_latency(usual, 0.5)
     assert not found.should_give_up(usual, aim=1.5, now=1.2)
     found.next_poll_delay()
     assert not found.should_give_up(usual, aim=1.5, now=0.9)
--- a/test/test_serve.py
+++ b/test/test_serve.py
@@ -26,7 +26,7 @@
         # A store that is away.
         platform = settings.Platform("127.0.0.1:9", ANY, ANY)
         process = settings.Process("p", "d", ANY, ANY, ANY, ANY)
-        async with asyncio.timeout(helper.WAIT):
+        async with asyncio.timeout(helper.DEFAULT_TIMEOUT):
             await serve.serve(settings.Settings(process, platform), "none")
 
     monkeypatch.setattr(proxy.Proxy, "start", start)
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -195,7 +195,7 @@
 
     async def answer(self) -> bytes:
         """All that comes until the connection ends."""
-        async with asyncio.timeout(helper.WAIT):
+        async with asyncio.timeout(helper.DEFAULT_TIMEOUT):
             return await self.reader.read()
 
     def process_ends(self) -> None:
@@ -471,7 +471,7 @@
     """A peer sends beats and credit; a closed connection answers with a reset,
     and what the system still holds for the peer is lost."""
     # The peer takes it in its own time; the bound is for silent ones.
-    monkeypatch.setattr(stopping, "PARTING", helper.WAIT)
+    monkeypatch.setattr(stopping, "PARTING", helper.DEFAULT_TIMEOUT)
 
     async def work(fleet):
         entry, one = fleet.proxies
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -1,4 +1,4 @@
-"""The store's adapter against the stand-in, faults included."""
+"""Client of the store against the simulated store, including failures."""
 
 import asyncio
 import contextlib
@@ -16,10 +16,10 @@
 from test import helper
 
 
-class Rig:
-    """Stand-in and adapter over a real socket."""
+class StoreFixture:
+    """Simulated store and its client, connected over a real socket."""
 
-    async def __aenter__(self) -> "Rig":
+    async def __aenter__(self) -> "StoreFixture":
         self.store = standin.Store()
         self.server = server.Server(self.store.handle)
         await self.server.open("127.0.0.1:0")
@@ -35,117 +35,119 @@
     return {"version": version, "routes": {}, "services": {}}
 
 
-def test_finds_the_newest_configuration():
+def test_newest_configuration_is_read():
     async def work():
-        async with Rig() as rig:
-            assert (await rig.adapter.configuration()).record is None
-            rig.store.configure(record(3))
-            rig.store.configure(record(5))
-            found = await rig.adapter.configuration()
+        async with StoreFixture() as fixture:
+            assert (await fixture.adapter.configuration()).record is None
+            fixture.store.configure(record(3))
+            fixture.store.configure(record(5))
+            found = await fixture.adapter.configuration()
             assert adapter.decode(found.record).version == 5
             assert found.position == 2
 
     helper.run(work())
 
 
-def test_waits_for_the_next_configuration():
+def test_next_configuration_is_awaited():
     async def work():
-        async with Rig() as rig:
-            first = await rig.adapter.configuration()
+        async with StoreFixture() as fixture:
+            first = await fixture.adapter.configuration()
             waiting = asyncio.create_task(
-                rig.adapter.next_configuration(first.position, 20.0)
+                fixture.adapter.next_configuration(first.position, 20.0)
             )
-            calls = rig.store.calls
-            await helper.until(lambda: rig.store.calls > calls)
-            rig.store.configure(record(7))
+            calls = fixture.store.calls
+            await helper.until(lambda: fixture.store.calls > calls)
+            fixture.store.configure(record(7))
             found = await waiting
             assert adapter.decode(found.record).version == 7
-            again = await rig.adapter.next_configuration(found.position, 0.0)
+            again = await fixture.adapter.next_configuration(
+                found.position, 0.0
+            )
             assert again.record is None
             assert again.position == found.position
 
     helper.run(work())
 
 
-def test_forgotten_history_is_told():
+def test_read_of_discarded_records_raises_gap():
     async def work():
-        async with Rig() as rig:
-            rig.store.configure(record(7))
-            rig.store.forget()
+        async with StoreFixture() as fixture:
+            fixture.store.configure(record(7))
+            fixture.store.forget()
             with pytest.raises(errors.RegistryGap):
-                await rig.adapter.next_configuration(0, 0.0)
-            found = await rig.adapter.configuration()
+                await fixture.adapter.next_configuration(0, 0.0)
+            found = await fixture.adapter.configuration()
             assert adapter.decode(found.record).version == 7
 
     helper.run(work())
 
 
 @pytest.mark.parametrize("fault", ["away", "refusing", "losing"])
-def test_a_store_that_fails_is_an_error(fault):
+def test_store_failure_raises_unavailable(fault):
     async def work():
-        async with Rig() as rig:
-            setattr(rig.store, fault, 503 if fault == "refusing" else True)
+        async with StoreFixture() as fixture:
+            setattr(fixture.store, fault, 503 if fault == "refusing" else True)
             with pytest.raises(errors.RegistryUnavailable):
-                await rig.adapter.announce("a", b"x")
+                await fixture.adapter.announce("a", b"x")
 
     helper.run(work())
 
 
-def test_members_are_found_by_name_and_replaced():
+def test_announcement_replaces_an_earlier_one():
     async def work():
-        async with Rig() as rig:
-            await rig.adapter.announce("a", b"1")
-            await rig.adapter.announce("b", b"2")
-            await rig.adapter.announce("a", b"3")
-            assert await rig.adapter.members() == {"a": b"3", "b": b"2"}
+        async with StoreFixture() as fixture:
+            await fixture.adapter.announce("a", b"1")
+            await fixture.adapter.announce("b", b"2")
+            await fixture.adapter.announce("a", b"3")
+            assert await fixture.adapter.members() == {"a": b"3", "b": b"2"}
 
     helper.run(work())
 
 
-def test_members_come_in_pages(monkeypatch):
+def test_members_are_read_in_pages(monkeypatch):
     monkeypatch.setattr(standin, "MAX_PAGE", 2)
 
     async def work():
-        async with Rig() as rig:
+        async with StoreFixture() as fixture:
             for name in "abcde":
-                await rig.adapter.announce(name, b"1")
-            assert sorted(await rig.adapter.members()) == list("abcde")
+                await fixture.adapter.announce(name, b"1")
+            assert sorted(await fixture.adapter.members()) == list("abcde")
 
     helper.run(work())
 
 
-def test_following_goes_on_after_an_outage_and_a_gap(monkeypatch):
+def test_follower_recovers_from_an_outage_and_a_gap(monkeypatch):
     monkeypatch.setattr(registry, "PAUSE_FIRST", 0.01)
 
     async def work():
-        async with Rig() as rig:
+        async with StoreFixture() as fixture:
             seen = []
             follower = registry.Follower(
-                rig.adapter,
+                fixture.adapter,
                 random.Random(1),
                 lambda data: seen.append(adapter.decode(data).version),
             )
             task = asyncio.create_task(follower.run())
-            rig.store.configure(record(1))
+            fixture.store.configure(record(1))
             await helper.until(lambda: seen == [1])
-            rig.store.go_away()
-            calls = rig.store.calls
-            await helper.until(lambda: rig.store.calls > calls)
-            rig.store.configure(record(2))
-            rig.store.forget()
-            rig.store.away = False
+            fixture.store.go_away()
+            calls = fixture.store.calls
+            await helper.until(lambda: fixture.store.calls > calls)
+            fixture.store.configure(record(2))
+            fixture.store.forget()
+            fixture.store.away = False
             await helper.until(lambda: seen[-1] == 2)
             task.cancel()
 
     helper.run(work())
 
 
-class Hanging:
-    """A store whose reads are never answered; see `interfaces.Registry`."""
+class HangingStore:
+    """Registry whose long polls never complete."""
 
     def __init__(self):
         self.waits: list[float] = []
-        # Reads of what is there, without waiting.
+        # Number of reads that do not wait.
         self.first_reads = 0
 
     async def configuration(self) -> interfaces.ConfigurationRead:
@@ -159,13 +161,12 @@
         return await asyncio.Future()
 
 
-def test_a_read_that_a_peer_overtook_is_begun_anew(monkeypatch):
-    """It hung on a connection that had fallen silent for up to 14 s, while
-    peers had the version that it waited for."""
+def test_read_restarts_if_a_peer_has_a_newer_version(monkeypatch):
+    """A read can hang on a dead connection while peers have a newer version."""
     monkeypatch.setattr(registry, "PAUSE_FIRST", 0.0)
 
     async def work():
-        store = Hanging()
+        store = HangingStore()
         follower = registry.Follower(store, random.Random(1), [].append)
         task = asyncio.create_task(follower.run())
         await helper.until(lambda: len(store.waits) == 1)
@@ -184,12 +185,11 @@
 
 
 @pytest.mark.parametrize("processes", [1, 5, 21, 31, 300])
-def test_one_of_all_processes_always_begins_a_read_soon(processes):
-    """Where all connections to the store fall silent at once, only a read
-    that begins anew has the next version; five processes began one each 2 s."""
+def test_some_process_always_restarts_its_read_soon(processes):
+    """If all connections to the store are dead, only a new read succeeds."""
 
     async def wait_of(count: int) -> float:
-        store = Hanging()
+        store = HangingStore()
         follower = registry.Follower(
             store, random.Random(count), [].append, lambda: processes
         )
@@ -215,7 +215,7 @@
         ("producer=p&epoch=1&sequence=1", 200),
     ],
 )
-def test_the_stand_in_appends_under_a_condition(query, status):
+def test_simulated_store_supports_conditional_appends(query, status):
     async def work():
         store = standin.Store()
         assert (await append(store, query)).status == status
@@ -223,7 +223,7 @@
     helper.run(work())
 
 
-def test_the_stand_in_fences_producers_and_repeats_answers():
+def test_simulated_store_fences_producers_and_deduplicates():
     async def work():
         store = standin.Store()
         first = await append(store, "producer=p&epoch=2&sequence=1")
@@ -243,20 +243,20 @@
     return await store.handle(request)
 
 
-def test_a_read_that_hung_is_begun_anew_over_a_new_connection():
-    """Those that are kept fell silent with it: all that were open did."""
+def test_hung_read_restarts_over_a_new_connection():
+    """All pooled connections may be as dead as the one of the hung read."""
 
     async def work():
         opened = []
 
         def accept(connection):
             opened.append(connection)
-            rig.server._accept(connection)
+            fixture.server._accept(connection)
 
-        async with Rig() as rig:
+        async with StoreFixture() as fixture:
             listening = await wire.listen("127.0.0.1:0", accept)
             store = adapter.Store(wire.bound_address(listening))
-            # As at a start: the one is read and the other announced.
+            # Two concurrent calls open two connections.
             await asyncio.gather(
                 store.configuration(), store.announce("a", b"x")
             )
@@ -269,11 +269,11 @@
             await asyncio.sleep(0)
             hung.cancel()
             await asyncio.gather(hung, return_exceptions=True)
-            rig.store.configure(record(2))
+            fixture.store.configure(record(2))
             found = None
             with contextlib.suppress(errors.RegistryUnavailable):
                 found = await store.next_configuration(0, 0.0)
-            assert found is not None, "it went over one that was kept"
+            assert found is not None, "the read reused an open connection"
             assert len(opened) == 3
             store.close()
             listening.close()
@@ -281,8 +281,8 @@
     helper.run(work())
 
 
-class Told(Hanging):
-    """A store that tells all one version, and then falls silent."""
+class NotifyingStore(HangingStore):
+    """Registry that completes the first long polls at once, and no others."""
 
     def __init__(self):
         super().__init__()
@@ -298,12 +298,13 @@
         return await asyncio.Future()
 
 
-def test_a_read_ends_soon_though_a_version_has_just_begun_all_anew():
-    """All reads are answered by a version at once, and begin in one moment;
-    where all connections fall silent then, none ends within the bound."""
+def test_reads_stay_spread_after_a_new_version():
+    """A new version completes all reads at once, so the next ones start
+    together. They must not all end late if the connections are dead by then.
+    """
 
     async def work():
-        store = Told()
+        store = NotifyingStore()
         tasks = []
         for number in range(31):
             follower = registry.Follower(
--- a/test/test_store_readers.py
+++ b/test/test_store_readers.py
@@ -150,7 +150,7 @@
 
 def test_who_is_no_reader_waits_at_the_store_no_more_until_it_is_one():
     async def work():
-        store = test_store.Hanging()
+        store = test_store.HangingStore()
         reads = [False]
         follower = registry.Follower(
             store, random.Random(1), [].append, lambda: 40, lambda: reads[0]
@@ -175,7 +175,7 @@
     monkeypatch.setattr(registry, "LOOK_EVERY", 0.01)
 
     async def work():
-        store = test_store.Hanging()
+        store = test_store.HangingStore()
         follower = registry.Follower(
             store, random.Random(1), [].append, lambda: 40, lambda: False
         )
