--- a/forklift/allocator.py
+++ b/forklift/allocator.py
@@ -1,10 +1,11 @@
-"""Allocates the limits of some organisations among the processes of a fleet.
-
-Each process lends its share, one part in N, to the one allocator of a shard
-that it sees. An allocator grants what it was lent, and nothing beyond: so the
-sum over all processes is right whoever else takes itself for the allocator, and
-whoever is cut off, paused or just started. What it was lent lasts for a while
-from a moment that the allocator knows, and what it grants ends before.
+"""Allocates the rate limits of a shard of organisations to the processes.
+
+Each process delegates its share of the limits, one part in N, to the one
+process that it sees as allocator of the shard. An allocator grants no more than
+the shares delegated to it. So the sum over all processes stays within the
+limits when several processes act as allocator, and when processes are
+partitioned, paused or restarted. Leases expire before the delegations that
+cover them.
 """
 
 import collections
@@ -17,108 +18,127 @@
 from forklift import organisations
 from forklift import rate_limits
 
-# Seconds between two votes of a process, and for which each lends its share: so
-# many that some lost ones in a row take nothing away.
+# Seconds between two delegations of a process, and for which one is valid. A
+# few lost messages in a row don't let it expire.
 DELEGATION_PERIOD = 1.0
 DELEGATION_SECONDS = 5.0
-# Seconds for which a part holds: it ends before what it was granted from does,
-# though two votes in a row are lost.
+# Seconds for which a lease is valid. It survives the loss of two delegations in
+# a row, and expires before the delegations that cover it.
 LEASE_SECONDS = 2.5
-# Share of a limit that is dealt out in parts. The rest answers who asks: what
-# is left of a part where nobody calls just then helps no other.
+# Fraction of the delegated capacity that is leased. The rest is granted as
+# single tokens, as a lease at a process without requests is of no use.
 LEASABLE_FRACTION = 0.5
-# Longest wait that is told to who asks, seconds.
+# Longest retry_after of a token grant, seconds.
 MAX_RETRY_AFTER = 10.0
-# A rise of what it was lent beyond this begins with no tokens stored: those
-# before it may have been spent by another allocator.
+# After a rise of the capacity by more than this fraction of a limit, new token
+# pools hold tokens only for the time since: another allocator may have spent
+# the earlier ones.
 CAPACITY_RISE = 0.1
-# Seconds after which tokens of an organisation that nobody asks for are
-# forgotten; they would be full again by then.
+# Seconds after which an unused token pool is deleted; it would be full again by
+# then.
 FORGET_AFTER = 60.0
-# Seconds that a handover may take; what it lends ends earlier by so much.
+# Upper bound for the duration of a handover, seconds. Delegations that are
+# handed over expire earlier by this much.
 HANDOVER_SECONDS = 0.25
 
 FindOrganisation = Callable[[str], organisations.Organisation | None]
 
 
 @dataclasses.dataclass
-class _Sent:
-    """An allocation that its receiver may go by.
+class _IssuedAllocation:
+    """An allocation whose leases may be in use.
 
     Attributes:
-        number: Its number; 0 for one of an earlier allocator.
-        at: Monotonic seconds when it was sent.
-        until: Monotonic seconds after which nobody goes by it.
-        parts: Parts by organisation.
+        sequence: Its sequence number; 0 if an earlier allocator issued it.
+        sent_at: Monotonic seconds when it was sent.
+        expires_at: Monotonic seconds after which its leases are invalid.
+        share_by_organisation: Leased fraction of each limit.
     """
 
-    number: int
-    at: float
-    until: float
-    parts: dict[str, float]
+    sequence: int
+    sent_at: float
+    expires_at: float
+    share_by_organisation: dict[str, float]
 
 
 @dataclasses.dataclass
-class _Voter:
-    """What is known of a process that votes here."""
-
-    voter: messages.ProcessRun
-    weight: float = 0.0
-    # From when to when its share counts here.
-    counted_from: float = math.inf
-    expires: float = -math.inf
-    # Whether only earlier runs of this process may count its share elsewhere.
-    ours: bool = False
-    heard: int = 0
+class _Delegator:
+    """What the allocator knows of a process that delegates its share."""
+
+    process: messages.ProcessRun
+    share: float = 0.0
+    # The share counts between these times, monotonic seconds.
+    counts_from: float = math.inf
+    expires_at: float = -math.inf
+    # Whether only earlier runs of this process may still count the share.
+    only_own_runs: bool = False
+    last_sequence: int = 0
     heard_at: float = -math.inf
-    number: int = 0
-    sent: collections.deque[_Sent] = dataclasses.field(
+    issued_sequence: int = 0
+    issued: collections.deque[_IssuedAllocation] = dataclasses.field(
         default_factory=collections.deque
     )
     rate_by_organisation: dict[str, float] = dataclasses.field(
         default_factory=dict
     )
 
-    def part(self, organisation: str, now: float) -> float:
-        """The most that it may be using of a limit by itself."""
+    def leased_share(self, organisation: str, now: float) -> float:
+        """Largest share of a limit for which it may hold a valid lease."""
         return max(
             (
-                one.parts.get(organisation, 0.0)
-                for one in self.sent
-                if one.until > now
+                one.share_by_organisation.get(organisation, 0.0)
+                for one in self.issued
+                if one.expires_at > now
             ),
             default=0.0,
         )
 
-    def echoed(self, number: int) -> _Sent | None:
-        """Forgets what came before an allocation that it goes by now."""
-        if all(one.number != number for one in self.sent):
+    def acknowledge(self, sequence: int) -> _IssuedAllocation | None:
+        """Drops allocations that precede the one which it echoes.
+
+        Returns:
+            The echoed allocation; None if it is not known.
+        """
+        if all(one.sequence != sequence for one in self.issued):
             return None
-        while self.sent[0].number != number:
-            self.sent.popleft()
-        return self.sent[0]
+        while self.issued[0].sequence != sequence:
+            self.issued.popleft()
+        return self.issued[0]
 
 
-class _Store:
+class _TokenPool:
     """Tokens of one organisation that are granted one by one."""
 
     def __init__(self, since: float):
         self.bucket = rate_limits.TokenBucket(since)
-        self.free: float | None = None
+        self.free_share: float | None = None
         self.used_at = since
 
     def refill(
-        self, now: float, free: float, rate: float, depth: float
+        self, now: float, free_share: float, rate: float, depth: float
     ) -> rate_limits.TokenBucket:
-        """Time passed, in which at least the lesser part was free."""
-        earning = free if self.free is None else min(free, self.free)
-        self.bucket.refill(now, rate * earning, depth * free)
-        self.free, self.used_at = free, now
+        """Adds tokens for the time since the last call.
+
+        The free share may have changed in between; the smaller value counts.
+
+        Args:
+            now: Monotonic seconds.
+            free_share: Fraction of the limit that is not leased, 0 to 1.
+            rate: Tokens per second of the whole limit.
+            depth: Tokens that the whole limit may store.
+        """
+        earning = (
+            free_share
+            if self.free_share is None
+            else min(free_share, self.free_share)
+        )
+        self.bucket.refill(now, rate * earning, depth * free_share)
+        self.free_share, self.used_at = free_share, now
         return self.bucket
 
 
 class Allocator:
-    """The limits of one shard of the organisations."""
+    """Grants the limits of one shard of the organisations."""
 
     def __init__(
         self,
@@ -129,169 +149,187 @@
         expected: Callable[[float], Iterable[str]],
         now: float,
     ):
-        """Makes an allocator that was lent nothing yet.
+        """Makes an allocator without delegations.
 
         Args:
             own: This process.
             shard: Number of the shard.
-            bounds: What may be run beyond limits.
+            bounds: Permitted overshoot of the limits.
             find_organisation: Finds an organisation by its name.
-            expected: Names of the processes that may vote or hold parts now.
+            expected: Names of the processes that may delegate shares or hold
+                leases at a time, monotonic seconds.
             now: Monotonic seconds.
         """
         self._own = own
         self._shard = shard
         self._bounds = bounds
-        self._limit_of = find_organisation
+        self._find_organisation = find_organisation
         self._expected = expected
-        self._voter_by_name: dict[str, _Voter] = {}
+        self._delegator_by_name: dict[str, _Delegator] = {}
         self._names_by_organisation: dict[str, set[str]] = {}
-        self._store_by_organisation: dict[str, _Store] = {}
-        # Runs of allocators that gave their votes to this one, and when what
-        # they granted is over.
-        self._succeeds: dict[int, float] = {}
-        # Since when it was lent about as much as now.
-        self._since = now
-        self._steady = 0.0
+        self._pool_by_organisation: dict[str, _TokenPool] = {}
+        # Runs of allocators that handed over to this one, and the monotonic
+        # seconds after which their leases have expired.
+        self._superseded: dict[int, float] = {}
+        # Time since which the capacity has not risen notably, and the lowest
+        # capacity since then.
+        self._stable_since = now
+        self._stable_capacity = 0.0
 
-    # What it was lent.
+    # Delegations.
 
     def capacity(self, now: float) -> float:
-        """Share of each limit that may be granted now, 0 to 1."""
-        complete = self._complete(now)
-        lent = 0.0
-        for one in self._voter_by_name.values():
-            if one.expires < now + LEASE_SECONDS:
+        """Fraction of each limit that this allocator may grant, 0 to 1."""
+        complete = self._all_delegated(now)
+        delegated = 0.0
+        for one in self._delegator_by_name.values():
+            if one.expires_at < now + LEASE_SECONDS:
                 continue
-            if one.counted_from <= now or (complete and one.ours):
-                lent += one.weight
-        lent = min(1.0, lent)
-        if lent > self._steady + CAPACITY_RISE:
-            self._since, self._steady = now, lent
-        self._steady = min(self._steady, lent)
-        return lent
-
-    def _complete(self, now: float) -> bool:
-        """Whether no process may go by another allocator than this.
-
-        All vote here, and an earlier run of this process is surely over.
+            if one.counts_from <= now or (complete and one.only_own_runs):
+                delegated += one.share
+        delegated = min(1.0, delegated)
+        if delegated > self._stable_capacity + CAPACITY_RISE:
+            self._stable_since, self._stable_capacity = now, delegated
+        self._stable_capacity = min(self._stable_capacity, delegated)
+        return delegated
+
+    def _all_delegated(self, now: float) -> bool:
+        """Whether no process may hold a lease of another allocator.
+
+        If all expected processes delegate to this run, leases of earlier runs
+        of this process are no longer in use.
         """
         for name in self._expected(now):
-            known = self._voter_by_name.get(name)
+            known = self._delegator_by_name.get(name)
             if known is None or now - known.heard_at > DELEGATION_SECONDS:
                 return False
-            if known.counted_from > now and not known.ours:
+            if known.counts_from > now and not known.only_own_runs:
                 return False
         return True
 
     def receive_delegation(
-        self, vote: messages.Delegation, now: float
+        self, delegation: messages.Delegation, now: float
     ) -> messages.Allocation | None:
-        """A process votes; None for a vote that is late."""
-        known = self._voter_by_name.get(vote.sender.name)
-        if known is None or known.voter.boot != vote.sender.boot:
-            # What an earlier run of it held has ended with that.
-            self._drop(vote.sender.name)
-            known = _Voter(vote.sender)
-            self._voter_by_name[vote.sender.name] = known
-        if vote.sequence <= known.heard:
+        """Answers a delegation; returns None if it arrived out of order."""
+        known = self._delegator_by_name.get(delegation.sender.name)
+        if known is None or known.process.boot != delegation.sender.boot:
+            # Leases of an earlier run of the process ended with that run.
+            self._drop(delegation.sender.name)
+            known = _Delegator(delegation.sender)
+            self._delegator_by_name[delegation.sender.name] = known
+        if delegation.sequence <= known.last_sequence:
             return None
-        known.voter = vote.sender
-        known.heard, known.heard_at = vote.sequence, now
-        self._count(known, vote, now)
-        self._note_demands(known, vote.demands)
-        return self._allocate(known, vote, now)
-
-    def _count(
-        self, known: _Voter, vote: messages.Delegation, now: float
+        known.process = delegation.sender
+        known.last_sequence, known.heard_at = delegation.sequence, now
+        self._update_share(known, delegation, now)
+        self._update_demands(known, delegation.demands)
+        return self._allocate(known, delegation, now)
+
+    def _update_share(
+        self, known: _Delegator, delegation: messages.Delegation, now: float
     ) -> None:
-        known.ours = all(
-            name == self._own.name for name, _ in vote.previous_allocators
+        known.only_own_runs = all(
+            name == self._own.name for name, _ in delegation.previous_allocators
         )
-        handed = all(
-            boot in self._succeeds for _, boot in vote.previous_allocators
+        handed_over = all(
+            boot in self._superseded
+            for _, boot in delegation.previous_allocators
         )
-        wait = 0.0 if handed else vote.exclusive_in
-        known.counted_from = now + wait
-        if vote.echo_boot != self._own.boot:
+        wait = 0.0 if handed_over else delegation.exclusive_in
+        known.counts_from = now + wait
+        if delegation.echo_boot != self._own.boot:
             return
-        echoed = known.echoed(vote.echo)
+        echoed = known.acknowledge(delegation.echo)
         if echoed is not None:
-            known.weight = vote.share
-            known.expires = max(known.expires, echoed.at + vote.valid_for)
+            known.share = delegation.share
+            known.expires_at = max(
+                known.expires_at, echoed.sent_at + delegation.valid_for
+            )
 
-    def _note_demands(
-        self, known: _Voter, demands: Iterable[messages.Demand]
+    def _update_demands(
+        self, known: _Delegator, demands: Iterable[messages.Demand]
     ) -> None:
-        name = known.voter.name
+        name = known.process.name
         for organisation in known.rate_by_organisation:
             self._names_by_organisation[organisation].discard(name)
         known.rate_by_organisation = {}
         for one in demands:
             if one.rate > 0:
                 known.rate_by_organisation[one.organisation] = one.rate
-        held = {name for sent in known.sent for name in sent.parts}
-        for organisation in held | set(known.rate_by_organisation):
+        leased = {
+            name for sent in known.issued for name in sent.share_by_organisation
+        }
+        for organisation in leased | set(known.rate_by_organisation):
             self._users(organisation).add(name)
 
     def _users(self, organisation: str) -> set[str]:
-        """Names of the voters that have requests or a part of one."""
+        """Names of processes with demand or leases of an organisation."""
         return self._names_by_organisation.setdefault(organisation, set())
 
-    # What it grants.
+    # Allocations.
 
     def _allocate(
-        self, known: _Voter, vote: messages.Delegation, now: float
+        self, known: _Delegator, delegation: messages.Delegation, now: float
     ) -> messages.Allocation:
-        lent = self.capacity(now)
-        parts = {}
+        capacity = self.capacity(now)
+        shares = {}
         for organisation in known.rate_by_organisation:
-            part = self._part(known, organisation, lent, now)
-            if part:
-                parts[organisation] = part
-        known.number += 1
-        known.sent.append(_Sent(known.number, now, now + LEASE_SECONDS, parts))
-        for organisation in parts:
-            self._users(organisation).add(known.voter.name)
-        tokens = tuple(
-            self._tokens(one, lent, now)
-            for one in vote.demands
+            share = self._share_to_lease(known, organisation, capacity, now)
+            if share:
+                shares[organisation] = share
+        known.issued_sequence += 1
+        known.issued.append(
+            _IssuedAllocation(
+                known.issued_sequence, now, now + LEASE_SECONDS, shares
+            )
+        )
+        for organisation in shares:
+            self._users(organisation).add(known.process.name)
+        token_grants = tuple(
+            self._grant_tokens(one, capacity, now)
+            for one in delegation.demands
             if one.tokens_wanted
         )
         return messages.Allocation(
             self._own,
             self._shard,
-            known.number,
-            vote.sequence,
+            known.issued_sequence,
+            delegation.sequence,
             LEASE_SECONDS,
-            tuple(messages.Lease(name, part) for name, part in parts.items()),
-            tokens,
-            tuple(self._succeeds),
+            tuple(
+                messages.Lease(name, share) for name, share in shares.items()
+            ),
+            token_grants,
+            tuple(self._superseded),
         )
 
-    def _part(
-        self, known: _Voter, organisation: str, lent: float, now: float
+    def _share_to_lease(
+        self, known: _Delegator, organisation: str, capacity: float, now: float
     ) -> float:
-        """The part of a limit that a process is to use by itself."""
-        limit = self._limit_of(organisation)
+        """Share of a limit to lease to a process, in proportion to demand."""
+        limit = self._find_organisation(organisation)
         if limit is None or not limit.limited:
             return 0.0
         depth = self._bounds.depth(limit.rate, limit.burst)
-        dealt = LEASABLE_FRACTION * lent
-        wanted = self._wanted(known, organisation, limit, depth)
+        leasable = LEASABLE_FRACTION * capacity
+        wanted = self._wanted_share(known, organisation, limit, depth)
         all_wanted = sum(
-            self._wanted(self._voter_by_name[name], organisation, limit, depth)
+            self._wanted_share(
+                self._delegator_by_name[name], organisation, limit, depth
+            )
             for name in self._names_by_organisation[organisation]
         )
-        part = wanted * min(1.0, dealt / max(all_wanted, wanted))
-        others = self._used(organisation, now) - known.part(organisation, now)
-        part = min(part, dealt - others)
-        # With less than a token in store it could use none of it.
-        return round(part, 4) if part * depth >= 1.0 else 0.0
+        share = wanted * min(1.0, leasable / max(all_wanted, wanted))
+        others = self._total_leased(organisation, now) - known.leased_share(
+            organisation, now
+        )
+        share = min(share, leasable - others)
+        # A bucket that can't store a whole token admits no request.
+        return round(share, 4) if share * depth >= 1.0 else 0.0
 
-    def _wanted(
+    def _wanted_share(
         self,
-        known: _Voter,
+        known: _Delegator,
         organisation: str,
         limit: organisations.Organisation,
         depth: float,
@@ -301,101 +339,116 @@
             return 0.0
         return max(1.0 / depth, rate / limit.rate)
 
-    def _used(self, organisation: str, now: float) -> float:
-        """The most of a limit that processes may be using by themselves."""
+    def _total_leased(self, organisation: str, now: float) -> float:
+        """Largest share of a limit that all leases may cover together."""
         return sum(
-            self._voter_by_name[name].part(organisation, now)
+            self._delegator_by_name[name].leased_share(organisation, now)
             for name in self._names_by_organisation.get(organisation, ())
         )
 
-    def _tokens(
-        self, asked: messages.Demand, lent: float, now: float
+    def _grant_tokens(
+        self, demand: messages.Demand, capacity: float, now: float
     ) -> messages.TokenGrant:
-        limit = self._limit_of(asked.organisation)
+        limit = self._find_organisation(demand.organisation)
         if limit is None or not limit.limited:
             return messages.TokenGrant(
-                asked.organisation, asked.tokens_wanted, 0.0
+                demand.organisation, demand.tokens_wanted, 0.0
             )
         depth = self._bounds.depth(limit.rate, limit.burst)
-        free = max(0.0, lent - self._used(asked.organisation, now))
-        store = self._store_by_organisation.get(asked.organisation)
-        if store is None:
-            store = _Store(self._since)
-            self._store_by_organisation[asked.organisation] = store
-        bucket = store.refill(now, free, limit.rate, depth)
-        count = min(asked.tokens_wanted, int(bucket.tokens))
+        free = max(0.0, capacity - self._total_leased(demand.organisation, now))
+        pool = self._pool_by_organisation.get(demand.organisation)
+        if pool is None:
+            pool = _TokenPool(self._stable_since)
+            self._pool_by_organisation[demand.organisation] = pool
+        bucket = pool.refill(now, free, limit.rate, depth)
+        count = min(demand.tokens_wanted, int(bucket.tokens))
         bucket.tokens -= count
         wait = 0.0
-        if count < asked.tokens_wanted:
+        if count < demand.tokens_wanted:
             wait = min(MAX_RETRY_AFTER, bucket.wait(limit.rate * free))
-        return messages.TokenGrant(asked.organisation, count, round(wait, 3))
+        return messages.TokenGrant(demand.organisation, count, round(wait, 3))
 
-    # Its life.
+    # Expiry and handover.
 
     def tick(self, now: float) -> None:
-        """Forgets who and what was not heard of for long."""
-        for name, known in list(self._voter_by_name.items()):
-            ended = max(known.heard_at + DELEGATION_SECONDS, known.expires)
-            if now > ended and all(one.until <= now for one in known.sent):
+        """Drops expired delegations, unused token pools and old runs."""
+        for name, known in list(self._delegator_by_name.items()):
+            ended = max(known.heard_at + DELEGATION_SECONDS, known.expires_at)
+            if now > ended and all(
+                one.expires_at <= now for one in known.issued
+            ):
                 self._drop(name)
-        for organisation, store in list(self._store_by_organisation.items()):
-            if now - store.used_at > FORGET_AFTER:
-                del self._store_by_organisation[organisation]
-        for boot, until in list(self._succeeds.items()):
+        for organisation, pool in list(self._pool_by_organisation.items()):
+            if now - pool.used_at > FORGET_AFTER:
+                del self._pool_by_organisation[organisation]
+        for boot, until in list(self._superseded.items()):
             if now > until:
-                del self._succeeds[boot]
+                del self._superseded[boot]
 
     def hand_over(self, to_boot: int, now: float) -> messages.Handover | None:
-        """Gives all up to another allocator; None where there is nothing.
+        """Transfers all delegations to another allocator.
+
+        This allocator must not be used afterwards.
+
+        Args:
+            to_boot: Run of the process that receives them.
+            now: Monotonic seconds.
 
-        This one must not be used after that.
+        Returns:
+            The message to send; None if there are no delegations.
         """
-        lent = tuple(
-            self._lent(one, now)
-            for one in self._voter_by_name.values()
-            if one.expires > now and one.weight
+        delegations = tuple(
+            self._held_delegation(one, now)
+            for one in self._delegator_by_name.values()
+            if one.expires_at > now and one.share
         )
-        if not lent:
+        if not delegations:
             return None
-        succeeds = (*self._succeeds, self._own.boot)
+        supersedes = (*self._superseded, self._own.boot)
         return messages.Handover(
-            self._own, to_boot, self._shard, succeeds, lent
+            self._own, to_boot, self._shard, supersedes, delegations
         )
 
-    def _lent(self, known: _Voter, now: float) -> messages.HeldDelegation:
-        names = {name for one in known.sent for name in one.parts}
-        parts = {name: known.part(name, now) for name in names}
-        until = max((one.until for one in known.sent), default=now)
-        counts = known.counted_from <= now
+    def _held_delegation(
+        self, known: _Delegator, now: float
+    ) -> messages.HeldDelegation:
+        names = {
+            name for one in known.issued for name in one.share_by_organisation
+        }
+        shares = {name: known.leased_share(name, now) for name in names}
+        until = max((one.expires_at for one in known.issued), default=now)
+        counts = known.counts_from <= now
         return messages.HeldDelegation(
-            known.voter,
-            known.weight if counts else 0.0,
-            round(known.expires - now, 3),
-            tuple(messages.Lease(*item) for item in parts.items() if item[1]),
+            known.process,
+            known.share if counts else 0.0,
+            round(known.expires_at - now, 3),
+            tuple(messages.Lease(*item) for item in shares.items() if item[1]),
             round(max(0.0, until - now), 3),
         )
 
-    def accept_handover(self, given: messages.Handover, now: float) -> None:
-        """Another allocator gave up the shard, and grants nothing any more."""
-        for boot in given.supersedes:
-            self._succeeds[boot] = now + DELEGATION_SECONDS
-        for lent in given.delegations:
-            known = self._voter_by_name.get(lent.delegator.name)
+    def accept_handover(self, handover: messages.Handover, now: float) -> None:
+        """Takes over the delegations of an allocator that stopped."""
+        for boot in handover.supersedes:
+            self._superseded[boot] = now + DELEGATION_SECONDS
+        for held in handover.delegations:
+            known = self._delegator_by_name.get(held.delegator.name)
             if known is None:
-                known = _Voter(lent.delegator, lent.share, now)
-                known.expires = now + lent.expires_in - HANDOVER_SECONDS
+                known = _Delegator(held.delegator, held.share, now)
+                known.expires_at = now + held.expires_in - HANDOVER_SECONDS
                 known.heard_at = now
-                self._voter_by_name[lent.delegator.name] = known
-            if known.voter.boot == lent.delegator.boot:
-                parts = {one.organisation: one.share for one in lent.leases}
-                known.sent.append(
-                    _Sent(0, now, now + lent.leases_valid_for, parts)
+                self._delegator_by_name[held.delegator.name] = known
+            if known.process.boot == held.delegator.boot:
+                shares = {one.organisation: one.share for one in held.leases}
+                known.issued.append(
+                    _IssuedAllocation(
+                        0, now, now + held.leases_valid_for, shares
+                    )
                 )
-                for organisation in parts:
-                    self._users(organisation).add(lent.delegator.name)
+                for organisation in shares:
+                    self._users(organisation).add(held.delegator.name)
 
     def _drop(self, name: str) -> None:
-        self._voter_by_name.pop(name, None)
+        self._delegator_by_name.pop(name, None)
         for organisation, names in list(self._names_by_organisation.items()):
             names.discard(name)
             if not names:
