--- a/forklift/fingerprint.py
+++ b/forklift/fingerprint.py
@@ -1,13 +1,13 @@
-"""Tells whether two requests are the same one, come again.
+"""Fingerprints of requests, to recognize a request that is sent again.
 
-What a caller sends a second time has another id, and may arrive anywhere. It
-has the same method, host, path, caller and body.
+A repeated request has another id and may arrive at any process. Its method,
+host, path, caller and body are the same.
 """
 
 import hashlib
 
-# Long enough that nobody finds two contents of one fingerprint, and so can have
-# one request taken for another, bytes.
+# Size of a fingerprint, bytes: large enough that no caller can find a collision
+# and have another caller's request taken for its own.
 DIGEST_SIZE = 16
 
 
@@ -19,15 +19,15 @@
     length: int,
     body: bytes,
 ) -> bytes:
-    """The fingerprint of a request.
+    """Computes the fingerprint of a request.
 
     Args:
         method: HTTP method.
-        host: Host that it is for.
+        host: Host of the request; case is ignored.
         path: Request target as the caller sent it.
-        caller: What tells its caller from others.
-        length: Length of the body, -1 when chunked and not known.
-        body: The body; of a large one its beginning, always as much.
+        caller: Values that identify the caller.
+        length: Length of the body, bytes; -1 if it is chunked.
+        body: The body, or a prefix of fixed length if it is larger.
 
     >>> compute(b"GET", b"h", b"/a", (), 0, b"") == compute(
     ...     b"GET", b"h", b"/a", (), 0, b""
@@ -41,7 +41,7 @@
     digest = hashlib.blake2b(digest_size=DIGEST_SIZE)
     size = str(length).encode()
     for part in (method, host.lower(), path, size, *caller):
-        # The length keeps two parts from being read as others.
+        # The length prefix keeps the boundaries between parts unambiguous.
         digest.update(len(part).to_bytes(4, "big"))
         digest.update(part)
     digest.update(body)
--- a/forklift/local_quota.py
+++ b/forklift/local_quota.py
@@ -1,7 +1,8 @@
-"""What a process may let in of each organisation's requests.
+"""Admits requests of organisations at one process, within their rate limits.
 
-It lends its share of all limits to the allocators that it sees, and uses the
-parts that they grant. What a part does not cover it asks for, token by token.
+The process delegates its share of all limits to their allocators and admits
+requests from the leases that these grant. For requests beyond its leases it
+asks the allocator for single tokens.
 """
 
 import collections
@@ -17,39 +18,40 @@
 from forklift import rates
 from forklift import rendezvous
 
-# Shards of the organisations: so many that one allocator that ends takes few
-# with it, so few that votes for all of them cost little.
+# Number of shards of the organisations. More shards limit the effect of an
+# allocator that fails; fewer need fewer messages.
 SHARD_COUNT = 8
-# Seconds over which the demand for an organisation is counted.
+# Seconds over which the arrival rate of an organisation is measured.
 DEMAND_WINDOW_SECONDS = 4.0
-# Less than one request in this many seconds is no demand for a part.
-RARE = 10.0
-# Votes whose answers may still come.
-KEPT_VOTES = 16
-# Seconds for which a word that nothing is left is believed, at least and at
-# most: others stop sending, or a limit is raised.
-EMPTY_LEAST = 0.05
-EMPTY_MOST = 0.5
-# Seconds after which an organisation without requests is forgotten.
+# An organisation needs no lease if its requests are farther apart, seconds.
+MAX_REQUEST_INTERVAL = 10.0
+# Number of delegations to an allocator whose answers are still accepted.
+MAX_PENDING_DELEGATIONS = 16
+# Bounds of the time for which requests are rejected without asking, after the
+# allocator ran out of tokens, seconds. Tokens may come back earlier than it
+# said if the demand falls or the limit rises.
+MIN_EXHAUSTED_SECONDS = 0.05
+MAX_EXHAUSTED_SECONDS = 0.5
+# Seconds without requests after which an organisation is forgotten.
 FORGET_AFTER = 30.0
 
 
 class Decision(enum.Enum):
-    """Whether a request may go on."""
+    """Whether a request is admitted."""
 
     ADMIT = "yes"
     REJECT = "no"
-    # Its allocator must be asked first.
+    # The allocator decides; the request waits for a token.
     ASK_ALLOCATOR = "ask"
 
 
 @dataclasses.dataclass(frozen=True)
 class AdmissionResult:
-    """What becomes of a request.
+    """The outcome for one request.
 
     Attributes:
-        decision: Whether it may go on.
-        retry_after: Seconds after which another may, where this one may not.
+        decision: Whether it is admitted.
+        retry_after: Seconds until a retry may be admitted, if it is rejected.
     """
 
     decision: Decision
@@ -57,26 +59,27 @@
 
 
 @dataclasses.dataclass
-class _Grant:
-    """The parts that one run of an allocator granted.
+class _LeaseSet:
+    """The leases that one run of an allocator granted.
 
     Attributes:
-        until: Monotonic seconds.
-        parts: Parts by organisation.
+        expires_at: Monotonic seconds.
+        share_by_organisation: Leased fraction of each limit.
     """
 
-    until: float
-    parts: dict[str, float]
+    expires_at: float
+    share_by_organisation: dict[str, float]
 
 
 @dataclasses.dataclass
-class _Link:
-    """What passed between this process and one run of an allocator."""
+class _Exchange:
+    """The exchange of messages with one allocator."""
 
     boot: int = 0
-    number: int = 0
-    heard: int = 0
-    # Whether a vote told that an allocation was heard, which makes it count.
+    last_sent: int = 0
+    last_received: int = 0
+    # Whether a delegation has echoed an allocation; the allocator counts the
+    # share only then.
     echoed: bool = False
     sent_at: collections.OrderedDict[int, float] = dataclasses.field(
         default_factory=collections.OrderedDict
@@ -84,125 +87,128 @@
 
 
 class _Shard:
-    """This process's side of one shard."""
+    """State of this process for one shard."""
 
     def __init__(self):
         self.allocator = ""
-        self.next_vote = -math.inf
-        self.link_by_name: dict[str, _Link] = {}
-        # By name and run of the allocator.
-        self.grant_by_boot: dict[tuple[str, int], _Grant] = {}
-        # Until when a run of an allocator may count this process's share.
-        self.lent_until: dict[tuple[str, int], float] = {}
+        self.next_delegation = -math.inf
+        self.exchange_by_name: dict[str, _Exchange] = {}
+        # By name and boot of the allocator.
+        self.leases_by_allocator: dict[tuple[str, int], _LeaseSet] = {}
+        # Monotonic seconds until which an allocator, by name and boot, may
+        # count the share of this process.
+        self.delegated_until: dict[tuple[str, int], float] = {}
         self.organisations: set[str] = set()
-        self.heard_at: float | None = None
-        # Since when the allocator owes an answer to a vote.
+        self.allocation_at: float | None = None
+        # When the first delegation since the last answer of the allocator was
+        # sent; None if there is none.
         self.unanswered_since: float | None = None
 
     def leased_share(self, organisation: str, now: float) -> float:
-        """The part of a limit that this process may use by itself."""
+        """Fraction of a limit that this process holds leases for."""
         return sum(
-            grant.parts.get(organisation, 0.0)
-            for grant in self.grant_by_boot.values()
-            if grant.until > now
+            leases.share_by_organisation.get(organisation, 0.0)
+            for leases in self.leases_by_allocator.values()
+            if leases.expires_at > now
         )
 
 
-class _Use:
-    """What this process lets in of one organisation."""
+class _Usage:
+    """Requests and tokens of one organisation at this process."""
 
     def __init__(self, now: float):
         self.bucket = rate_limits.TokenBucket(now)
         self.arrivals = rates.DecayingCounter(DEMAND_WINDOW_SECONDS)
         self.seen_at = now
-        # Until when nothing is left, by the word of the allocator.
-        self.empty_until = -math.inf
-        self.asks = 0
+        # Requests are rejected until then, as the allocator has no tokens left.
+        self.exhausted_until = -math.inf
+        self.tokens_wanted = 0
         self.admitted = 0
         self.refused = 0
 
     def rate(self, now: float) -> float:
-        """Requests a second that came of late."""
+        """Recent arrivals, requests per second."""
         return self.arrivals.count(now) / DEMAND_WINDOW_SECONDS
 
 
 def shard_of(organisation: str) -> int:
-    """The shard of an organisation, the same on every process."""
+    """Shard of an organisation; the same at every process."""
     return rendezvous.score("shard", organisation) % SHARD_COUNT
 
 
 class LocalQuota:
-    """The limits as one process keeps to them."""
+    """Admission of requests within the leases of one process."""
 
     def __init__(
         self,
         own: Callable[[], messages.ProcessRun],
         bounds: rate_limits.Bounds,
         find_organisation: allocator.FindOrganisation,
-        weight: Callable[[], float],
-        ended: Callable[[str, int], bool] = lambda name, boot: False,
+        own_share: Callable[[], float],
+        has_ended: Callable[[str, int], bool] = lambda name, boot: False,
     ):
-        """Makes one that was granted nothing yet.
+        """Makes a quota without leases.
 
         Args:
             own: Describes this process.
-            bounds: What may be run beyond limits.
+            bounds: Permitted overshoot of the limits.
             find_organisation: Finds an organisation by its name.
-            weight: This process's share of all limits, as far as known.
-            ended: Whether a run of a process is over for certain, by name and
-                boot.
+            own_share: Returns the fraction of all limits that this process may
+                delegate; 0 if it is not known.
+            has_ended: Whether a run of a process, given by name and boot, has
+                certainly ended.
         """
         self.bounds = bounds
         self._own = own
-        self._limit_of = find_organisation
-        self._weight = weight
-        self._ended = ended
+        self._find_organisation = find_organisation
+        self._own_share = own_share
+        self._has_ended = has_ended
         self._shards = [_Shard() for _ in range(SHARD_COUNT)]
-        self.usage_by_organisation: dict[str, _Use] = {}
+        self.usage_by_organisation: dict[str, _Usage] = {}
 
     # Requests.
 
     def admit(self, organisation: str, now: float) -> AdmissionResult:
-        """A request of an organisation came."""
-        limit = self._limit_of(organisation)
+        """Decides on a request of an organisation that has arrived."""
+        limit = self._find_organisation(organisation)
         if limit is None or not limit.limited:
             return AdmissionResult(Decision.ADMIT)
-        use = self._use(organisation, now)
-        use.arrivals.record(now)
-        use.seen_at = now
-        self._earn(organisation, use, now)
-        if use.bucket.try_take():
-            use.admitted += 1
+        usage = self._usage_of(organisation, now)
+        usage.arrivals.record(now)
+        usage.seen_at = now
+        self._refill(organisation, usage, now)
+        if usage.bucket.try_take():
+            usage.admitted += 1
             return AdmissionResult(Decision.ADMIT)
-        if now < use.empty_until:
-            use.refused += 1
-            return AdmissionResult(Decision.REJECT, use.empty_until - now)
+        if now < usage.exhausted_until:
+            usage.refused += 1
+            return AdmissionResult(Decision.REJECT, usage.exhausted_until - now)
         return AdmissionResult(Decision.ASK_ALLOCATOR)
 
     def set_tokens_wanted(self, organisation: str, count: int) -> None:
-        """So many requests wait for the word of the allocator."""
-        use = self.usage_by_organisation.get(organisation)
-        if use is not None:
-            use.asks = count
+        """Sets how many requests wait for a token of the allocator."""
+        usage = self.usage_by_organisation.get(organisation)
+        if usage is not None:
+            usage.tokens_wanted = count
 
     def record_outcome(self, organisation: str, granted: bool) -> None:
-        """What became of a request that waited for it."""
-        use = self.usage_by_organisation.get(organisation)
-        if use is None:
+        """Counts a request that waited for the allocator."""
+        usage = self.usage_by_organisation.get(organisation)
+        if usage is None:
             return
-        use.admitted += granted
-        use.refused += not granted
+        usage.admitted += granted
+        usage.refused += not granted
 
     def refund(self, organisation: str, now: float) -> None:
-        """A request that was let in has not run, and never will."""
-        limit = self._limit_of(organisation)
-        use = self.usage_by_organisation.get(organisation)
-        if use is not None and limit is not None and limit.limited:
-            use.bucket.tokens += 1.0
-            self._earn(organisation, use, now)
+        """Returns the token of an admitted request that will not run."""
+        limit = self._find_organisation(organisation)
+        usage = self.usage_by_organisation.get(organisation)
+        if usage is not None and limit is not None and limit.limited:
+            usage.bucket.tokens += 1.0
+            self._refill(organisation, usage, now)
 
     def leased_share(self, organisation: str, now: float) -> float:
-        """The part of its limit that this process may use by itself."""
+        """Fraction of its limit that this process holds leases for."""
         return self._shards[shard_of(organisation)].leased_share(
             organisation, now
         )
@@ -210,154 +216,167 @@
     def seconds_since_allocation(
         self, organisation: str, now: float
     ) -> float | None:
-        """Seconds since its allocator was heard; None where it never was."""
-        found = self._shards[shard_of(organisation)]
-        if found.heard_at is None:
+        """Seconds since the last allocation; None if there was none."""
+        state = self._shards[shard_of(organisation)]
+        if state.allocation_at is None:
             return None
-        return round(now - found.heard_at, 2)
+        return round(now - state.allocation_at, 2)
 
-    def _use(self, organisation: str, now: float) -> _Use:
-        use = self.usage_by_organisation.get(organisation)
-        if use is None:
-            use = self.usage_by_organisation[organisation] = _Use(now)
+    def _usage_of(self, organisation: str, now: float) -> _Usage:
+        usage = self.usage_by_organisation.get(organisation)
+        if usage is None:
+            usage = self.usage_by_organisation[organisation] = _Usage(now)
             self._shards[shard_of(organisation)].organisations.add(organisation)
-        return use
+        return usage
 
-    def _earn(self, organisation: str, use: _Use, now: float) -> None:
-        limit = self._limit_of(organisation)
+    def _refill(self, organisation: str, usage: _Usage, now: float) -> None:
+        limit = self._find_organisation(organisation)
         if limit is None or not limit.limited:
             return
-        part = self.leased_share(organisation, now)
+        share = self.leased_share(organisation, now)
         depth = self.bounds.depth(limit.rate, limit.burst)
-        use.bucket.refill(now, part * limit.rate, part * depth)
+        usage.bucket.refill(now, share * limit.rate, share * depth)
 
-    # Allocators.
+    # Exchange with allocators.
 
     def delegate(
         self, shard: int, name: str, now: float
     ) -> messages.Delegation:
-        """The next vote of this process for an allocator."""
-        found = self._shards[shard]
-        if found.allocator != name or found.unanswered_since is None:
-            found.unanswered_since = now
-        found.allocator = name
-        found.next_vote = now + allocator.DELEGATION_PERIOD
-        link = found.link_by_name.setdefault(name, _Link())
-        link.number += 1
-        link.sent_at[link.number] = now
-        while len(link.sent_at) > KEPT_VOTES:
-            link.sent_at.popitem(last=False)
-        this = (name, link.boot)
-        self._cut_short(found, now)
-        ties = {
+        """Returns the next delegation of a shard, to be sent to an allocator.
+
+        Args:
+            shard: Number of the shard.
+            name: Name of the process that allocates the shard.
+            now: Monotonic seconds.
+        """
+        state = self._shards[shard]
+        if state.allocator != name or state.unanswered_since is None:
+            state.unanswered_since = now
+        state.allocator = name
+        state.next_delegation = now + allocator.DELEGATION_PERIOD
+        exchange = state.exchange_by_name.setdefault(name, _Exchange())
+        exchange.last_sent += 1
+        exchange.sent_at[exchange.last_sent] = now
+        while len(exchange.sent_at) > MAX_PENDING_DELEGATIONS:
+            exchange.sent_at.popitem(last=False)
+        current = (name, exchange.boot)
+        self._shorten_delegations(state, now)
+        previous = {
             key: until
-            for key, until in found.lent_until.items()
-            if until > now and key != this
+            for key, until in state.delegated_until.items()
+            if until > now and key != current
         }
-        weight = self._weight()
-        if link.heard:
-            link.echoed = True
-            found.lent_until = dict(ties)
-            if weight:
-                found.lent_until[this] = now + allocator.DELEGATION_SECONDS
-        free_in = max((until - now for until in ties.values()), default=0.0)
+        share = self._own_share()
+        if exchange.last_received:
+            exchange.echoed = True
+            state.delegated_until = dict(previous)
+            if share:
+                state.delegated_until[current] = (
+                    now + allocator.DELEGATION_SECONDS
+                )
+        exclusive_in = max(
+            (until - now for until in previous.values()), default=0.0
+        )
         return messages.Delegation(
             self._own(),
             shard,
-            link.number,
-            link.heard,
-            link.boot,
+            exchange.last_sent,
+            exchange.last_received,
+            exchange.boot,
             allocator.DELEGATION_SECONDS,
-            weight,
-            tuple(ties),
-            round(free_in, 3),
-            tuple(self._demands(found, now)),
+            share,
+            tuple(previous),
+            round(exclusive_in, 3),
+            tuple(self._demands(state, now)),
         )
 
-    def _cut_short(self, found: _Shard, now: float) -> None:
-        """What an allocator that ended was lent is over with its parts."""
-        for key, until in found.lent_until.items():
-            if self._ended(*key):
-                found.lent_until[key] = min(
+    def _shorten_delegations(self, state: _Shard, now: float) -> None:
+        """Shortens delegations to ended runs to the life of their leases."""
+        for key, until in state.delegated_until.items():
+            if self._has_ended(*key):
+                state.delegated_until[key] = min(
                     until, now + allocator.LEASE_SECONDS
                 )
 
     def delegation_due(self, shard: int, name: str, now: float) -> bool:
-        """Whether it is time to vote for an allocator."""
-        found = self._shards[shard]
-        return found.allocator != name or now >= found.next_vote
+        """Whether the next delegation to an allocator is due."""
+        state = self._shards[shard]
+        return state.allocator != name or now >= state.next_delegation
 
     def has_answered(self, shard: int, name: str) -> bool:
-        """Whether a process answers votes of this one for a shard."""
-        found = self._shards[shard]
-        return found.allocator == name and found.unanswered_since is None
+        """Whether an allocator answers the delegations of a shard."""
+        state = self._shards[shard]
+        return state.allocator == name and state.unanswered_since is None
 
     def seconds_unanswered(self, shard: int, now: float) -> float:
-        """Seconds for which the allocator of a shard owes an answer."""
+        """Seconds for which the allocator of a shard has not answered."""
         since = self._shards[shard].unanswered_since
         return now - since if since is not None else 0.0
 
-    def _demands(self, found: _Shard, now: float) -> Iterable[messages.Demand]:
-        for name in sorted(found.organisations):
-            use = self.usage_by_organisation[name]
-            rate = use.rate(now)
-            if rate >= 1 / RARE or use.asks:
-                yield messages.Demand(name, round(rate, 3), use.asks)
-            use.asks = 0
+    def _demands(self, state: _Shard, now: float) -> Iterable[messages.Demand]:
+        for name in sorted(state.organisations):
+            usage = self.usage_by_organisation[name]
+            rate = usage.rate(now)
+            if rate >= 1 / MAX_REQUEST_INTERVAL or usage.tokens_wanted:
+                yield messages.Demand(name, round(rate, 3), usage.tokens_wanted)
+            usage.tokens_wanted = 0
 
     def receive(
-        self, given: messages.Allocation, now: float
+        self, allocation: messages.Allocation, now: float
     ) -> tuple[messages.TokenGrant, ...] | None:
-        """An allocator answered a vote.
+        """Takes the leases of an allocation into use.
 
         Returns:
-            What it says of tokens that were asked for; None where the answer
-            is none to a vote of this process.
+            Answers to the requests for tokens; None if the allocation does not
+            answer a recent delegation, or arrived out of order.
         """
-        if not 0 <= given.shard < SHARD_COUNT:
+        if not 0 <= allocation.shard < SHARD_COUNT:
             return None
-        found = self._shards[given.shard]
-        link = found.link_by_name.get(given.sender.name)
-        if link is None or given.echo not in link.sent_at:
+        state = self._shards[allocation.shard]
+        exchange = state.exchange_by_name.get(allocation.sender.name)
+        if exchange is None or allocation.echo not in exchange.sent_at:
             return None
-        if given.sender.boot != link.boot:
-            link.boot, link.heard = given.sender.boot, 0
-            link.echoed = False
-        if given.sequence <= link.heard:
+        if allocation.sender.boot != exchange.boot:
+            exchange.boot, exchange.last_received = allocation.sender.boot, 0
+            exchange.echoed = False
+        if allocation.sequence <= exchange.last_received:
             return None
-        for name in found.organisations:
-            self._earn(name, self.usage_by_organisation[name], now)
-        link.heard, found.heard_at = given.sequence, now
-        if given.sender.name == found.allocator:
-            found.unanswered_since = None
-        until = link.sent_at[given.echo] + given.valid_for
-        parts = {one.organisation: one.share for one in given.leases}
-        key = (given.sender.name, given.sender.boot)
-        found.grant_by_boot = {
-            known: grant
-            for known, grant in found.grant_by_boot.items()
-            if known[1] not in given.supersedes and grant.until > now
+        for name in state.organisations:
+            self._refill(name, self.usage_by_organisation[name], now)
+        exchange.last_received, state.allocation_at = allocation.sequence, now
+        if allocation.sender.name == state.allocator:
+            state.unanswered_since = None
+        expires_at = exchange.sent_at[allocation.echo] + allocation.valid_for
+        shares = {one.organisation: one.share for one in allocation.leases}
+        key = (allocation.sender.name, allocation.sender.boot)
+        state.leases_by_allocator = {
+            known: leases
+            for known, leases in state.leases_by_allocator.items()
+            if known[1] not in allocation.supersedes and leases.expires_at > now
         }
-        found.grant_by_boot[key] = _Grant(until, parts)
-        for one in given.token_grants:
-            self._note_empty(one, now)
-        return given.token_grants
+        state.leases_by_allocator[key] = _LeaseSet(expires_at, shares)
+        for one in allocation.token_grants:
+            self._record_exhausted(one, now)
+        return allocation.token_grants
 
     def delegation_confirmed(self, shard: int) -> bool:
-        """Whether the allocator can count this process's votes."""
-        found = self._shards[shard]
-        link = found.link_by_name.get(found.allocator)
-        return link is not None and link.echoed
-
-    def _note_empty(self, told: messages.TokenGrant, now: float) -> None:
-        use = self.usage_by_organisation.get(told.organisation)
-        if use is not None and told.retry_after > 0:
-            wait = min(EMPTY_MOST, max(EMPTY_LEAST, told.retry_after))
-            use.empty_until = now + wait
+        """Whether the allocator can count the share of this process."""
+        state = self._shards[shard]
+        exchange = state.exchange_by_name.get(state.allocator)
+        return exchange is not None and exchange.echoed
+
+    def _record_exhausted(self, grant: messages.TokenGrant, now: float) -> None:
+        usage = self.usage_by_organisation.get(grant.organisation)
+        if usage is not None and grant.retry_after > 0:
+            wait = min(
+                MAX_EXHAUSTED_SECONDS,
+                max(MIN_EXHAUSTED_SECONDS, grant.retry_after),
+            )
+            usage.exhausted_until = now + wait
 
     def tick(self, now: float) -> None:
-        """Forgets what was not used for long."""
-        for name, use in list(self.usage_by_organisation.items()):
-            if now - use.seen_at > FORGET_AFTER:
+        """Forgets organisations without recent requests."""
+        for name, usage in list(self.usage_by_organisation.items()):
+            if now - usage.seen_at > FORGET_AFTER:
                 del self.usage_by_organisation[name]
                 self._shards[shard_of(name)].organisations.discard(name)
--- a/forklift/organisations.py
+++ b/forklift/organisations.py
@@ -1,7 +1,7 @@
-"""Who calls: organisations, and the keys by which they are known.
+"""Organisations and the authentication of callers by key.
 
-Keys are held as digests only, so that nothing a process keeps, dumps or hands
-on can be used in place of one.
+Only digests of keys are kept, so nothing that a process stores, dumps or
+forwards can be used as a key.
 """
 
 import dataclasses
@@ -10,41 +10,43 @@
 
 from forklift import errors
 
-# Long enough that nobody finds a second key of one digest, bytes.
+# Size of a digest, bytes: large enough that nobody finds a second key with the
+# same digest.
 DIGEST_SIZE = 16
 
 
 class UnknownCaller(errors.ForkliftError):
-    """No organisation is known by what a caller sent."""
+    """A caller sent no key, several keys or an unknown key."""
 
     def __init__(self):
         super().__init__(
-            "the key is missing or unknown; send one key of an organisation "
-            "that the configuration in force names"
+            "the key is missing or unknown; send exactly one key of an "
+            "organisation in the current configuration"
         )
 
 
 class DuplicateKey(errors.ForkliftError):
-    """Two organisations have one key."""
+    """Two organisations have the same key."""
 
     def __init__(self, first: str, second: str):
         super().__init__(
-            f"organisations {first} and {second} have one key; "
-            "give each key to one of them"
+            f"organisations {first} and {second} have the same key; "
+            "give each key to one organisation only"
         )
 
 
 @dataclasses.dataclass(frozen=True)
 class Organisation:
-    """What the configuration says of one organisation.
+    """Configuration of one organisation.
 
     Attributes:
-        name: Its name, which its targets are told.
+        name: Its name, which is sent to targets with its requests.
         digests: Digests of its keys.
-        priority: Rank of its requests, before that of their routes; 0 is the
-            most urgent, None leaves it to the route.
-        rate: Requests a second over all processes; 0 does not limit it.
-        burst: Requests beyond the rate that may come at once.
+        priority: Priority of its requests, which overrides that of the route; 0
+            is the most urgent, None uses the priority of the route.
+        rate: Rate limit over all processes, requests per second; 0 means
+            unlimited.
+        burst: Number of requests beyond the rate that may arrive at once.
     """
 
     name: str
@@ -55,13 +57,17 @@
 
     @property
     def limited(self) -> bool:
-        """Whether it may send only so much."""
+        """Whether the organisation has a rate limit."""
         return self.rate > 0
 
 
 class Organisations:
     """The organisations of one version of the configuration.
 
+    Attributes:
+        by_name: Organisations by name.
+        any_limited: Whether any organisation has a rate limit.
+
     >>> known = Organisations([Organisation("fund", (digest(b"secret"),))])
     >>> known.identify([b"secret"], False).name
     'fund'
@@ -70,36 +76,42 @@
     """
 
     def __init__(self, organisations: Iterable[Organisation]):
-        """Makes a look-up.
+        """Builds the index of keys.
+
+        Args:
+            organisations: All organisations of the configuration.
 
         Raises:
-            DuplicateKey: A key is that of two of them.
+            DuplicateKey: Two organisations have the same key.
         """
         self.by_name: dict[str, Organisation] = {}
         self.any_limited = False
         self._by_digest: dict[bytes, Organisation] = {}
-        for one in organisations:
-            self.by_name[one.name] = one
-            self.any_limited = self.any_limited or one.limited
-            for known in one.digests:
-                other = self._by_digest.setdefault(known, one)
-                if other is not one:
-                    raise DuplicateKey(other.name, one.name)
+        for organisation in organisations:
+            self.by_name[organisation.name] = organisation
+            self.any_limited = self.any_limited or organisation.limited
+            for key_digest in organisation.digests:
+                other = self._by_digest.setdefault(key_digest, organisation)
+                if other is not organisation:
+                    raise DuplicateKey(other.name, organisation.name)
 
     def identify(
         self, keys: Iterable[bytes], allows_anonymous: bool
     ) -> Organisation | None:
-        """Whose request it is; None where it needs no organisation.
+        """Finds the organisation that sent a request.
 
-        A key that is sent must be known, on open routes too: a caller that
-        sends an old one is to learn of it.
+        An unknown key is an error on public routes, too, so that a caller
+        notices an outdated key.
 
         Args:
             keys: All keys that the request carries.
-            allows_anonymous: Whether its route is open to all.
+            allows_anonymous: Whether the route accepts requests without a key.
+
+        Returns:
+            The organisation; None for a request without a key on such a route.
 
         Raises:
-            UnknownCaller: Nobody's.
+            UnknownCaller: The request does not carry exactly one known key.
         """
         keys = tuple(keys)
         if not keys and allows_anonymous:
@@ -111,7 +123,7 @@
 
 
 def digest(key: bytes) -> bytes:
-    """What is kept of a key.
+    """Computes the digest of a key.
 
     >>> len(digest(b"a")) == DIGEST_SIZE, digest(b"a") == digest(b"A")
     (True, False)
--- a/forklift_lab/limit_model.py
+++ b/forklift_lab/limit_model.py
@@ -175,7 +175,7 @@
 
     def leased_share(self, organisation: str, now: float) -> float:
         """See `local_quota.LocalQuota`."""
-        return self._weight()
+        return self._own_share()
 
 
 class _Static:
