--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -13,16 +13,16 @@
 from collections.abc import Callable
 
 from forklift import admission
+from forklift import balancing_algorithms
 from forklift import health
 from forklift import latency
 from forklift import messages
-from forklift import paths
 from forklift import policy
 from forklift import rates
+from forklift import reachability
 from forklift import rendezvous
 from forklift import response_sizes
 from forklift import retry_budget
-from forklift import spread
 from forklift import target_view
 
 State = messages.TargetState
@@ -144,8 +144,8 @@
         bounds: RetryBudgetLimits,
         far_cost: float = 0.04,
     ):
-        self.reachability = paths.Reachability()
-        self.latencies = latency.RouteLatencies()
+        self.reachability = reachability.Reachability()
+        self.latencies = latency.Latencies()
         self.response_sizes = response_sizes.ResponseSizes()
         # The shortest latency objective of each service's routes, seconds.
         self.shortest_objective_by_service: dict[str, float] = {}
@@ -481,7 +481,7 @@
         candidates = [
             self._candidate(program, requirements, view, now) for view in pool
         ]
-        algorithm = spread.algorithm_by_name[program.spread]
+        algorithm = balancing_algorithms.algorithm_by_name[program.spread]
         name = algorithm(candidates, self._rng).name
         return next(view for view in pool if view.name == name)
 
@@ -491,7 +491,7 @@
         requirements: Requirements,
         view: TargetView,
         now: float,
-    ) -> spread.Candidate:
+    ) -> balancing_algorithms.Candidate:
         load = view.load(now)
         weight = 1.0
         if program.weight is not policy.EQUAL_WEIGHT:
@@ -506,11 +506,11 @@
             if requirements.idempotent
             else health.UNHEALTHY_FAILURE_RATE
         )
-        return spread.Candidate(
+        return balancing_algorithms.Candidate(
             view.name,
             load,
             view.slots,
-            max(spread.MIN_WEIGHT, weight),
+            max(balancing_algorithms.MIN_WEIGHT, weight),
             view.same_domain,
             view.pick_count,
             loss * view.unhealthy_probability(now),
--- a/forklift/policy.py
+++ b/forklift/policy.py
@@ -8,10 +8,10 @@
 import dataclasses
 import functools
 
+from forklift import balancing_algorithms
 from forklift import errors
 from forklift import expressions
 from forklift import ini
-from forklift import spread
 
 DEFAULT = "default"
 # Response statuses that are retried on another target if the request is
@@ -78,7 +78,7 @@
 
     name: str
     spread: str = ini.key(
-        ini.one_of(*sorted(spread.algorithm_by_name)),
+        ini.one_of(*sorted(balancing_algorithms.algorithm_by_name)),
         "how a target is picked",
         "least-cost",
     )
--- a/forklift/shell/links.py
+++ b/forklift/shell/links.py
@@ -9,7 +9,7 @@
 from forklift import errors
 from forklift import membership
 from forklift import messages
-from forklift import paths
+from forklift import reachability
 from forklift.shell import framing
 from forklift.shell import peers
 
@@ -26,7 +26,7 @@
     def __init__(
         self,
         directory: membership.Directory,
-        known: paths.Reachability,
+        known: reachability.Reachability,
         hello: Callable[[], messages.Hello],
         key: bytes,
         clock,
--- a/test/test_spread.py
+++ b/test/test_balancing_algorithms.py
@@ -2,10 +2,10 @@
 
 import random
 
-from forklift import spread
+from forklift import balancing_algorithms
 
 
-def candidate(name: str, **changes) -> spread.Candidate:
+def candidate(name: str, **changes) -> balancing_algorithms.Candidate:
     fields = {
         "load": 0.0,
         "slots": 4,
@@ -13,12 +13,14 @@
         "same_domain": True,
         "pick_count": 0,
     }
-    return spread.Candidate(name, **{**fields, **changes})
+    return balancing_algorithms.Candidate(name, **{**fields, **changes})
 
 
-def selected_names(*candidates: spread.Candidate) -> set[str]:
+def selected_names(*candidates: balancing_algorithms.Candidate) -> set[str]:
     rng = random.Random(1)
-    return {spread.least_cost(candidates, rng).name for _ in range(40)}
+    return {
+        balancing_algorithms.least_cost(candidates, rng).name for _ in range(40)
+    }
 
 
 def test_failure_risk_outweighs_a_small_difference_in_load():
--- a/test/test_paths.py
+++ b/test/test_reachability.py
@@ -1,24 +1,24 @@
 """Reachability of other processes."""
 
-from forklift import paths
+from forklift import reachability
 
 
 def test_process_without_an_expected_reply_is_unreachable_until_heard():
-    tracker = paths.Reachability()
+    tracker = reachability.Reachability()
     tracker.expect_reply("p", 0.0)
-    assert tracker.take_timed_out(paths.REPLY_TIMEOUT / 2) == []
-    assert tracker.take_timed_out(paths.REPLY_TIMEOUT) == ["p"]
+    assert tracker.take_timed_out(reachability.REPLY_TIMEOUT / 2) == []
+    assert tracker.take_timed_out(reachability.REPLY_TIMEOUT) == ["p"]
     assert not tracker.is_reachable("p")
-    assert tracker.take_due_heartbeats(paths.REPLY_TIMEOUT) == []
+    assert tracker.take_due_heartbeats(reachability.REPLY_TIMEOUT) == []
     assert tracker.take_due_heartbeats(
-        paths.REPLY_TIMEOUT + paths.INITIAL_BACKOFF
+        reachability.REPLY_TIMEOUT + reachability.INITIAL_BACKOFF
     ) == ["p"]
     tracker.record_reply("p")
     assert tracker.is_reachable("p")
 
 
 def test_process_times_out_only_while_a_reply_is_expected():
-    tracker = paths.Reachability()
+    tracker = reachability.Reachability()
     tracker.expect_reply("p", 0.0)
     tracker.cancel_expected_reply("p")
     assert tracker.take_timed_out(100.0) == []
--- a/test/test_silence.py
+++ b/test/test_silence.py
@@ -11,7 +11,7 @@
 
 from forklift import dissemination
 from forklift import gossip
-from forklift import paths
+from forklift import reachability
 from forklift.platform import store
 from forklift.shell import proxy
 from forklift.shell import registry
@@ -42,7 +42,7 @@
     ),
     "a request leaves a path that fell silent": (
         # One tick notes that a sign is due, another that it did not come.
-        paths.REPLY_TIMEOUT + 2 * TICK + WAY,
+        reachability.REPLY_TIMEOUT + 2 * TICK + WAY,
         0.8,
     ),
     "a silent control connection is opened anew": (
@@ -54,7 +54,10 @@
 
 def test_two_signs_may_be_missing_before_a_path_is_given_up():
     """A peer gives them with its ticks, and a tick may be late by one."""
-    assert paths.REPLY_TIMEOUT >= 2 * proxy.BEAT_PERIOD + ticking.TICK - 1e-9
+    assert (
+        reachability.REPLY_TIMEOUT
+        >= 2 * proxy.BEAT_PERIOD + ticking.TICK - 1e-9
+    )
 
 
 @pytest.mark.parametrize("promise", SUM_BY_PROMISE)
