--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -1,9 +1,8 @@
-"""Picks a target for each request, by what this entry knows of all.
+"""Selects a target for each request from the targets known to this process.
 
-Work that must not repeat goes only to targets that nobody doubts. Work that
-may repeat also tests doubted ones, so that they are back in use soon after
-they are well. Load is known exactly for our own requests and by the last
-answer for those of others, which fades.
+Requests that are not idempotent go only to targets that are not ejected.
+Idempotent requests also serve as trial requests for ejected targets, so that
+these are reinstated soon after they recover.
 """
 
 import collections
@@ -28,40 +27,41 @@
 State = messages.TargetState
 TargetView = target_view.TargetView
 
-# Targets of one service that this entry sends to at most.
+# Maximum number of targets of a service that this process sends to.
 SUBSET_SIZE = 64
-# Share of repeatable requests that test a doubted target when one is due.
-PROBE_SHARE = 0.4
-# Seconds over which the floor on capacity is counted: while many requests fail,
-# a target that serves must see work within them.
+# Probability that an idempotent request becomes a trial request while one is
+# due.
+TRIAL_PROBABILITY = 0.4
+# Seconds within which every healthy target must receive a request while the
+# failure rate is high. The capacity floor counts targets over this window.
 CAPACITY_FLOOR_WINDOW = 2.0
-# Share of failed requests from which on many fail: where a tenth do, the floor
-# counts.
+# Share of failed requests from which the failure rate is high. It is below the
+# tenth from which the capacity floor applies.
 HIGH_FAILURE_SHARE = 0.08
-# Seconds without work after which the target beside this entry gets the next
-# request that may repeat; while many fail here, the next of any kind, once what
-# is left of the window is so many times the mean pause between requests: four
-# of five then come in time. An entry of a large fleet sees one a second.
+# Seconds without a request after which the local target receives the next
+# idempotent one. While the failure rate is high, it receives the next request
+# of any kind as soon as no more than the third number of requests is expected
+# in the rest of the window, but not before the second number of seconds.
 LOCAL_IDLE_LIMIT = 0.7
 MIN_LOCAL_IDLE_LIMIT = 0.3
 EXPECTED_REQUESTS_LEFT = 1.6
-# As a gate tells that it never had work, less the time since it said so.
+# Idle seconds above which a target has never received a request.
 NEVER_USED = admission.MAX_IDLE_SECONDS - 10.0
-# Seconds between two scouts of this entry to one target.
-PROBE_INTERVAL = 0.25
-# Risk up to which a doubted target is better than to wait on.
-MAX_ACCEPTABLE_RISK = 0.5
-# Part of a slot that must seem free: reports of load fade, so a target that was
-# full a moment ago is not asked again at once.
+# Seconds between two trial requests of this process to a target.
+TRIAL_INTERVAL_SECONDS = 0.25
+# Probability of being unhealthy up to which an ejected target is preferred to a
+# longer wait.
+MAX_UNHEALTHY_PROBABILITY = 0.5
+# Free slots that a target must have. As reported load decays, a lower margin
+# would select a target that was full a moment ago.
 FREE_SLOT_MARGIN = 0.3
-# What a bad phase costs a request that may repeat, as a part of its worth: the
-# time until it is repeated, and the repeat, of which there are few. Other work
-# is lost as often as it fails.
+# Cost of an unhealthy target for an idempotent request, as a fraction of the
+# value of the request: the delay and a retry. Other requests are lost.
 IDEMPOTENT_LOSS = 0.5
-# Heads of a request and of its answer on the way between processes, kilobytes.
+# Size of the headers of a request and its response between processes.
 HEADER_KILOBYTES = 0.4
-# Weight of the last answer's word on how long its route takes: each guard
-# learns from all that its target runs, and an entry hears several.
+# Weight of the latency reported with a response in our distribution for the
+# route.
 LATENCY_GAIN = 0.2
 
 
@@ -71,11 +71,12 @@
 
     Attributes:
         service: Name of the service.
-        idempotent: Whether a second run does no harm.
-        required_health: How much doubt about the target it accepts.
-        scout: Whether it may test a target that is doubted or was not used.
-        wait: Whether it waits where no slot is free.
-        kilobytes: Size of it and its answer, as far as known.
+        idempotent: Whether the request is idempotent.
+        required_health: How healthy the target must be.
+        scout: Whether it may be a trial request, or the request that an idle
+            target needs.
+        wait: Whether it may go to a target without a free slot.
+        kilobytes: Estimated size of the request and its response.
     """
 
     service: str
@@ -88,13 +89,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Selection:
-    """A picked target.
+    """A selected target.
 
     Attributes:
-        target: Its name.
-        process: Name of the process beside it.
-        required_health: How much doubt the request must accept to be let in
-            there.
+        target: Name of the target.
+        process: Name of the process that owns the target.
+        required_health: Required health to pass to the admission controller.
     """
 
     target: str
@@ -104,14 +104,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class RetryBudgetLimits:
-    """Bounds on repeats that all processes keep together.
+    """Limits of the retry budgets, shared by all processes.
 
     Attributes:
-        ratio: Repeats allowed for each request of a service.
-        window: Seconds over which both are counted.
-        reserve: Repeats allowed beside, in each window.
-        calls: Calls to each other service that one run makes at most, on
-            average; those of a repeated run count as repeats there.
+        ratio: Retries allowed per request to a service.
+        window: Seconds over which requests and retries are counted.
+        reserve: Retries allowed in each window regardless of the ratio.
+        calls: Maximum average number of calls that one run makes to another
+            service. The calls of a retried run count as retries there.
     """
 
     ratio: float = 0.1
@@ -120,8 +120,8 @@
     calls: float = 1.0
 
 
-class _Group:
-    """One service as the entry sees it."""
+class _ServiceState:
+    """Targets, failure rate and retry budget of one service."""
 
     def __init__(self, bounds: RetryBudgetLimits):
         self.view_by_target: dict[str, TargetView] = {}
@@ -133,7 +133,20 @@
 
 
 class LoadBalancer:
-    """Picks targets for the requests of one process."""
+    """Selects targets for the requests of one process.
+
+    Attributes:
+        reachability: Reachability of the other processes.
+        latencies: Latency distributions by route.
+        response_sizes: Mean response sizes by route.
+        shortest_objective_by_service: Shortest latency objective of the routes
+            of each service, in seconds.
+        far_cost: Cost of a kilobyte between failure domains, as a fraction of
+            the value of a request.
+        process_count: Number of known processes including this one; 0 until
+            the first contact.
+        picks: Number of selections.
+    """
 
     def __init__(
         self,
@@ -145,33 +158,32 @@
         far_cost: float = 0.04,
     ):
         self.reachability = reachability.Reachability()
-        self.latencies = latency.Latencies()
+        self.latencies = latency.RouteLatencies()
         self.response_sizes = response_sizes.ResponseSizes()
-        # The shortest latency objective of each service's routes, seconds.
         self.shortest_objective_by_service: dict[str, float] = {}
-        # Cost of a kilobyte between failure domains, as a part of a request.
         self.far_cost = far_cost
         self._name = name
         self._domain = domain
         self._rng = rng
         self._program = program
         self._bounds = bounds
-        self._group_by_service: dict[str, _Group] = {}
+        self._state_by_service: dict[str, _ServiceState] = {}
         self._targets_by_process: dict[str, dict[str, str]] = {}
-        # Processes known, this one too; 0 before any were met.
         self.process_count = 0
         self.picks = 0
 
     def set_retry_limits(self, bounds: RetryBudgetLimits) -> None:
-        """Takes other bounds on repeats; what was counted stays."""
+        """Changes the limits of all retry budgets and keeps their counts."""
         self._bounds = bounds
-        for group in self._group_by_service.values():
-            group.budget.set_limits(bounds.ratio, bounds.window, bounds.reserve)
+        for service_state in self._state_by_service.values():
+            service_state.budget.set_limits(
+                bounds.ratio, bounds.window, bounds.reserve
+            )
 
-    # What is known.
+    # Known targets.
 
     def update_process(self, info: messages.ProcessInfo) -> None:
-        """Takes in what is known of one process and its targets."""
+        """Adds or updates a process and its targets."""
         before = self._targets_by_process.get(info.name, {})
         after = {
             target.name: target.service
@@ -181,63 +193,66 @@
         self._targets_by_process[info.name] = after
         for name, service in before.items():
             if after.get(name) != service:
-                self._remove(service, name, info.name)
+                self._remove_target(service, name, info.name)
         for target in info.targets:
             if target.name in after:
-                self._learn_target(target, info)
+                self._update_target(target, info)
 
     def remove_process(self, process: str) -> None:
-        """A process is dead, or has left."""
+        """Removes a process that is dead or has left, and its targets."""
         for name, service in self._targets_by_process.pop(process, {}).items():
-            self._remove(service, name, process)
+            self._remove_target(service, name, process)
         self.reachability.remove(process)
 
     def has_targets(self, service: str) -> bool:
-        """Whether a target of a service is known."""
-        group = self._group_by_service.get(service)
-        return group is not None and bool(group.view_by_target)
+        """Returns whether any target of a service is known."""
+        service_state = self._state_by_service.get(service)
+        return service_state is not None and bool(service_state.view_by_target)
 
     def services(self) -> list[str]:
-        """Services of which a target is known here, in order."""
-        groups = self._group_by_service.items()
-        return sorted(name for name, g in groups if g.view_by_target)
+        """Returns the sorted names of services with known targets."""
+        items = self._state_by_service.items()
+        return sorted(name for name, s in items if s.view_by_target)
 
     def views(self, service: str) -> list[TargetView]:
-        """The targets of a service that are known here."""
-        group = self._group_by_service.get(service)
-        return list(group.view_by_target.values()) if group else []
+        """Returns the known targets of a service."""
+        service_state = self._state_by_service.get(service)
+        return (
+            list(service_state.view_by_target.values()) if service_state else []
+        )
 
     def count_by_state(self, service: str, now: float) -> dict[str, int]:
-        """How the targets of a service stand here, for logs and reports.
+        """Counts the targets of a service by state, for logs and reports.
 
-        Those that can't be reached count as such, whatever their state is.
+        Targets of unreachable processes count as "not reached", targets
+        without a free slot as "full".
         """
         counts: collections.Counter[str] = collections.Counter()
         for view in self.views(service):
             full = view.load(now) > view.slots - FREE_SLOT_MARGIN
             state = "full" if full else str(view.state(now))
-            reached = self.reachability.is_reachable(view.process)
-            counts[state if reached else "not reached"] += 1
+            reachable = self.reachability.is_reachable(view.process)
+            counts[state if reachable else "not reached"] += 1
         return dict(counts)
 
     def update_load(self, target: str, load: messages.Load, now: float) -> None:
-        """A guard told of its target unasked."""
-        for group in self._group_by_service.values():
-            view = group.view_by_target.get(target)
+        """Applies a load report of a target."""
+        for service_state in self._state_by_service.values():
+            view = service_state.view_by_target.get(target)
             if view is not None:
                 view.update_load(load, now)
 
     def record_work_request(
         self, target: str, load: messages.Load, now: float
     ) -> None:
-        """A guard asks for work: its target is in service and has none."""
+        """Records that an idle target asks for a request."""
         self.update_load(target, load, now)
-        for group in self._group_by_service.values():
-            view = group.view_by_target.get(target)
+        for service_state in self._state_by_service.values():
+            view = service_state.view_by_target.get(target)
             if view is not None:
                 view.wants_work = True
 
-    # Picks.
+    # Selection.
 
     def select(
         self,
@@ -246,58 +261,60 @@
         now: float,
         refused: frozenset[str] = frozenset(),
     ) -> Selection | None:
-        """Picks a target; None when none will do.
+        """Selects a target and counts the request as in flight there.
 
         Args:
             requirements: What the request needs.
-            tried: Targets that it was sent to already.
+            tried: Targets that the request reached already; not selected.
             now: Monotonic seconds.
-            refused: Targets that can't take it just now. While one of them is
-                sound, a doubted one is taken in its place only if most of its
-                requests end well: one that fails at once always has a slot
-                free, and would draw all that waits. Work that must not repeat
-                goes to no doubted one: that it did not run can be told, and
-                it may come back.
+            refused: Targets that refused the request recently; not selected.
+                While one of them is not ejected, an ejected target is only
+                selected if it is probably healthy: a target that fails at once
+                always has a free slot and would attract all waiting requests.
+                Requests that are not idempotent never go to ejected targets.
+
+        Returns:
+            The selection, or None if no target meets the requirements.
         """
-        group = self._group_by_service.get(requirements.service)
-        if group is None:
+        service_state = self._state_by_service.get(requirements.service)
+        if service_state is None:
             return None
-        known = self._split(group, tried, now)
-        hopeless = not known[0] and not known[1]
-        sound, shedding, doubted = (
+        groups = self._group_by_health(service_state, tried, now)
+        none_usable = not groups[0] and not groups[1]
+        healthy, shedding, ejected = (
             [view for view in views if view.name not in refused]
-            for views in known
+            for views in groups
         )
-        view = self._idle(requirements, sound, group, now)
+        view = self._select_idle(requirements, healthy, service_state, now)
         required_health = (
             admission.RequiredHealth.PROVEN
             if view is None
             else admission.RequiredHealth.SOUND
         )
         if view is None and requirements.idempotent and requirements.scout:
-            view = self._test(sound, doubted, now)
+            view = self._select_for_trial(healthy, ejected, now)
         if view is None:
-            pool = sound or shedding
-            anyhow = (
+            pool = healthy or shedding
+            accepts_ejected = (
                 requirements.idempotent
                 and requirements.required_health is admission.RequiredHealth.ANY
             )
-            if not pool and anyhow:
+            if not pool and accepts_ejected:
                 promising = [
                     v
-                    for v in doubted
-                    if v.unhealthy_probability(now) <= MAX_ACCEPTABLE_RISK
+                    for v in ejected
+                    if v.unhealthy_probability(now) <= MAX_UNHEALTHY_PROBABILITY
                 ]
-                pool = doubted if hopeless else promising
+                pool = ejected if none_usable else promising
             if not requirements.wait:
                 pool = [
                     v for v in pool if v.load(now) <= v.slots - FREE_SLOT_MARGIN
                 ]
             if not pool:
                 return None
-            view = self._pick(requirements, pool, now)
+            view = self._balance(requirements, pool, now)
         if view.state(now) is State.SUSPECT:
-            view.next_probe_at = now + PROBE_INTERVAL
+            view.next_trial_at = now + TRIAL_INTERVAL_SECONDS
         view.in_flight += 1
         view.pick_count += 1
         self.picks += 1
@@ -309,43 +326,49 @@
         selection: Selection,
         load: messages.Load | None,
         now: float,
-        usual: latency.Distribution | None = None,
+        distribution: latency.Distribution | None = None,
     ) -> None:
-        """An attempt ended, with or without a report of the target's load.
+        """Records the end of an attempt.
 
         Args:
             service: Name of the service.
-            selection: The target.
-            load: Its guard's report.
+            selection: The target of the attempt.
+            load: Load report of the target, if there was a response.
             now: Monotonic seconds.
-            usual: The latency of the route, to learn from the report.
+            distribution: Latency of the route, updated from the report.
         """
-        group = self._group_by_service.get(service)
-        view = group.view_by_target.get(selection.target) if group else None
+        service_state = self._state_by_service.get(service)
+        view = (
+            service_state.view_by_target.get(selection.target)
+            if service_state
+            else None
+        )
         if view is None:
             return
         view.in_flight = max(0, view.in_flight - 1)
         if load is not None:
             view.update_load(load, now)
-            group.failing.record_remote(load.failure_percent / 100, now)
-            if usual is not None and load.latency > 0:
-                usual.blend(load.latency, load.latency_spread, LATENCY_GAIN)
+            service_state.failing.record_remote(load.failure_percent / 100, now)
+            if distribution is not None and load.latency > 0:
+                distribution.blend(
+                    load.latency, load.latency_spread, LATENCY_GAIN
+                )
 
     def record_failure(self, service: str, now: float) -> None:
-        """A request of a service failed at its target."""
-        self._group(service).failing.failures.record(now)
+        """Records that a request to a service failed at its target."""
+        self._service_state(service).failing.failures.record(now)
 
     def failure_percent(self, service: str, now: float) -> int:
-        """Requests of a service that fail here, of a hundred."""
-        return round(100 * self._group(service).failing.local(now))
+        """Returns the percentage of our requests to a service that fail."""
+        return round(100 * self._service_state(service).failing.local(now))
 
-    # Repeats.
+    # Retry budget.
 
     def record_request(self, service: str, now: float) -> None:
-        """A request was taken from a caller: it earns a part of a repeat."""
-        group = self._group(service)
-        group.failing.requests.record(now)
-        group.budget.record_request(now)
+        """Records a request of a caller, which adds to the retry budget."""
+        service_state = self._service_state(service)
+        service_state.failing.requests.record(now)
+        service_state.budget.record_request(now)
 
     def spend_retry(
         self,
@@ -354,122 +377,131 @@
         share: float = 1.0,
         objective: float = math.inf,
     ) -> bool:
-        """Takes one repeat from the budget of a service, if it has one.
+        """Charges a retry to the budget of a service, if any is left.
 
-        The calls of a repeated run are repeats, too. A call must end before
-        the run that makes it, so only services with a route of a shorter
-        objective can be called.
+        The calls made by a retried run are charged as retries, too. A call
+        ends before the run that makes it, so only services with a route of a
+        shorter latency objective can be called.
 
         Args:
             service: Name of the service.
             now: Monotonic seconds.
-            share: Part of the budget that this kind of repeat may use up.
+            share: Fraction of the budget that this kind of retry may use.
             objective: Latency objective of the route, seconds.
+
+        Returns:
+            Whether the retry is allowed.
         """
-        spent = self._group(service).budget
-        if not spent.spend(now, self.process_count, share):
+        budget = self._service_state(service).budget
+        if not budget.spend(now, self.process_count, share):
             return False
-        for name, group in self._group_by_service.items():
-            callable_ = (
+        for name, service_state in self._state_by_service.items():
+            may_be_called = (
                 self.shortest_objective_by_service.get(name, 0.0) < objective
             )
-            if callable_ and name != service:
-                group.budget.charge_calls(now, self._bounds.calls)
+            if may_be_called and name != service:
+                service_state.budget.charge_calls(now, self._bounds.calls)
         return True
 
     def retries_refused(self, service: str) -> int:
-        """Repeats of a service that the budget refused here."""
-        return self._group(service).budget.refused
-
-    def _group(self, service: str) -> _Group:
-        group = self._group_by_service.get(service)
-        if group is None:
-            group = self._group_by_service[service] = _Group(self._bounds)
-        return group
+        """Returns the number of retries to a service refused by the budget."""
+        return self._service_state(service).budget.refused
+
+    def _service_state(self, service: str) -> _ServiceState:
+        service_state = self._state_by_service.get(service)
+        if service_state is None:
+            service_state = self._state_by_service[service] = _ServiceState(
+                self._bounds
+            )
+        return service_state
 
-    def _split(
-        self, group: _Group, tried: frozenset[str], now: float
+    def _group_by_health(
+        self, service_state: _ServiceState, tried: frozenset[str], now: float
     ) -> tuple[
         list[TargetView],
         list[TargetView],
         list[TargetView],
     ]:
-        """Targets that may be sent to: sound, shedding and doubted ones."""
-        sound: list[TargetView] = []
+        """Returns the usable targets: healthy, shedding load and ejected."""
+        healthy: list[TargetView] = []
         shedding: list[TargetView] = []
-        doubted: list[TargetView] = []
-        for name in self._subset(group):
-            view = group.view_by_target[name]
+        ejected: list[TargetView] = []
+        for name in self._target_subset(service_state):
+            view = service_state.view_by_target[name]
             state = view.state(now)
             if name in tried or state in target_view.OUT_OF_SERVICE:
                 continue
             if not self.reachability.is_reachable(view.process):
                 continue
             if state is State.SUSPECT:
-                doubted.append(view)
+                ejected.append(view)
             elif state is State.SHEDDING:
                 shedding.append(view)
             else:
-                sound.append(view)
-        return sound, shedding, doubted
+                healthy.append(view)
+        return healthy, shedding, ejected
 
-    def _idle(
+    def _select_idle(
         self,
         requirements: Requirements,
-        sound: list[TargetView],
-        group: _Group,
+        healthy: list[TargetView],
+        service_state: _ServiceState,
         now: float,
     ) -> TargetView | None:
-        """A target that went without work for long.
+        """Returns a healthy target that was idle for too long, if any.
 
-        Every entry sees to its own, so that each sound target is in use
-        whatever the order in which others fill them, and to any whose guard
-        asks for work: its own entry may have no callers.
+        Each process keeps its local target in use, independently of how other
+        processes spread their load. A target whose own process has no callers
+        asks other processes for a request.
         """
         if not requirements.scout:
             return None
-        age = LOCAL_IDLE_LIMIT
+        max_idle = LOCAL_IDLE_LIMIT
         if not requirements.idempotent:
-            age = self._age_in_trouble(group, now)
-        for view in sound:
-            if view.process == self._name and view.idle_seconds(now) > age:
+            max_idle = self._max_idle_seconds(service_state, now)
+        for view in healthy:
+            if view.process == self._name and view.idle_seconds(now) > max_idle:
                 return view if view.load(now) < view.slots else None
-        for view in sound if requirements.idempotent else ():
+        for view in healthy if requirements.idempotent else ():
             if view.wants_work and view.load(now) < view.slots:
                 view.wants_work = False
                 return view
         return None
 
-    def _age_in_trouble(self, group: _Group, now: float) -> float:
-        """Seconds without work after which any request goes to a target.
+    def _max_idle_seconds(
+        self, service_state: _ServiceState, now: float
+    ) -> float:
+        """Returns the idle time after which a target gets the next request.
 
-        One that never had any is as good as all others at a start, when nothing
-        is known of them either.
+        While the failure rate is low, this applies only to targets that have
+        never received a request: at startup, nothing is known of the others
+        either.
         """
-        if group.failing.combined(now) < HIGH_FAILURE_SHARE:
+        if service_state.failing.combined(now) < HIGH_FAILURE_SHARE:
             return NEVER_USED
-        left = EXPECTED_REQUESTS_LEFT * group.failing.requests.mean_interval(
-            now
+        lead_time = (
+            EXPECTED_REQUESTS_LEFT
+            * service_state.failing.requests.mean_interval(now)
         )
-        return max(MIN_LOCAL_IDLE_LIMIT, CAPACITY_FLOOR_WINDOW - left)
+        return max(MIN_LOCAL_IDLE_LIMIT, CAPACITY_FLOOR_WINDOW - lead_time)
 
-    def _test(
+    def _select_for_trial(
         self,
-        sound: list[TargetView],
-        doubted: list[TargetView],
+        healthy: list[TargetView],
+        ejected: list[TargetView],
         now: float,
     ) -> TargetView | None:
-        """A doubted target that is due for a test by repeatable work."""
-        due = [view for view in doubted if now >= view.next_probe_at]
+        """Returns an ejected target to which a trial request is due, if any."""
+        due = [view for view in ejected if now >= view.next_trial_at]
         if not due:
             return None
-        # While no sound one has a slot free, a test costs nothing but itself.
-        full = all(view.load(now) >= view.slots for view in sound)
-        if full or self._rng.random() < PROBE_SHARE:
+        # While all healthy targets are full, a trial request delays nothing.
+        full = all(view.load(now) >= view.slots for view in healthy)
+        if full or self._rng.random() < TRIAL_PROBABILITY:
             return self._rng.choice(due)
         return None
 
-    def _pick(
+    def _balance(
         self,
         requirements: Requirements,
         pool: list[TargetView],
@@ -519,33 +551,35 @@
             else self.far_cost * (HEADER_KILOBYTES + requirements.kilobytes),
         )
 
-    def _learn_target(
+    def _update_target(
         self, target: messages.TargetInfo, info: messages.ProcessInfo
     ) -> None:
-        group = self._group(target.service)
-        view = group.view_by_target.get(target.name)
+        service_state = self._service_state(target.service)
+        view = service_state.view_by_target.get(target.name)
         same = view is not None and view.process == info.name
         if same and view.boot == info.boot:
             view.update_info(target)
             return
-        # A process that started again begins anew, as its target may have been
-        # paused only because the earlier run stopped.
-        near = target.domain == self._domain
-        group.view_by_target[target.name] = TargetView(target, info, near)
-        group.subset = None
-
-    def _remove(self, service: str, name: str, process: str) -> None:
-        group = self._group_by_service.get(service)
-        view = group.view_by_target.get(name) if group else None
+        # After a restart of the process, its old state is discarded: the target
+        # may have been paused only because the process stopped.
+        same_domain = target.domain == self._domain
+        service_state.view_by_target[target.name] = TargetView(
+            target, info, same_domain
+        )
+        service_state.subset = None
+
+    def _remove_target(self, service: str, name: str, process: str) -> None:
+        service_state = self._state_by_service.get(service)
+        view = service_state.view_by_target.get(name) if service_state else None
         if view is not None and view.process == process:
-            del group.view_by_target[name]
-            group.subset = None
+            del service_state.view_by_target[name]
+            service_state.subset = None
 
-    def _subset(self, group: _Group) -> list[str]:
-        """The targets that this entry sends to, chosen anew after changes."""
-        if group.subset is None:
-            names = sorted(group.view_by_target)
+    def _target_subset(self, service_state: _ServiceState) -> list[str]:
+        """Returns the targets to send to, selected again after each change."""
+        if service_state.subset is None:
+            names = sorted(service_state.view_by_target)
             if len(names) > SUBSET_SIZE:
                 names = rendezvous.select(self._name, names, SUBSET_SIZE)
-            group.subset = names
-        return group.subset
+            service_state.subset = names
+        return service_state.subset
--- a/forklift/retries.py
+++ b/forklift/retries.py
@@ -1,7 +1,8 @@
-"""One request on its way over targets: what it accepts next, step by step.
+"""Retry state of one request: when to wait, retry, hedge or give up.
 
-Targets refuse, fail, or are busy; each answer changes what the request accepts
-afterwards, up to the point where it is given up. Time is handed in.
+Targets may refuse a request, fail or be busy. Each result changes which
+targets the request accepts next, until it is given up. The state does no
+input or output; the current time is a parameter.
 """
 
 import collections
@@ -14,38 +15,40 @@
 
 Reason = messages.Reason
 
-# Seconds until the next look for a target when none may be sent to; it doubles
-# up to the second figure, as each look may cost a message to each gate.
+# Initial and maximum seconds between two searches for a target while there is
+# none to send to. The interval doubles, as a search may send messages to
+# several processes.
 POLL_INTERVAL = 0.02
 MAX_POLL_INTERVAL = 0.16
-# Part of its time after which a request that may repeat takes a doubted target
-# where no sound one is known: waiting longer leaves no time for an answer.
+# Share of the time limit after which an idempotent request accepts an ejected
+# target if there is no other: a longer wait leaves no time for a response.
 RELAX_AFTER_SHARE = 0.25
-# Part of its time within which a request must have left the queue of a gate,
-# the first time: what starts later mostly ends unserved, and its caller is
-# better told to come back.
+# Share of the time limit within which the first attempt must leave the queue of
+# its target. Later starts mostly miss the deadline, so the caller is told to
+# retry instead.
 START_DEADLINE_SHARE = 0.8
-# Seconds that any request waits: bursts are over sooner than its caller could
-# be back.
+# Seconds that every request may queue: most bursts end before the caller could
+# retry.
 MIN_QUEUE_TIME = 0.15
-# Gates that are asked for a free slot before a request waits at one.
+# Refusals after which the request accepts less: an unproven target, then a
+# queue.
 MAX_REFUSALS = 4
-# Gates, the least filled ones, that may say that waiting takes too long before
-# the request is given up: it then has its final answer at once.
+# Number of targets that reject the request because the wait would be too long,
+# after which it is given up. The least used targets are asked first.
 MAX_QUEUE_REJECTIONS = 3
-# Standard deviations above the usual latency of its route after which a
-# request that may repeat is also sent to a second target: of sound requests
-# one in twenty-five is that late. Where an answer of full worth could still
-# come from a second target, less is waited, but not less than the second
-# figure: one in six.
+# Standard deviations above the median latency of the route after which an
+# idempotent request is hedged; one healthy request in 25 is that slow. The
+# hedge is sent earlier if it can then still meet the latency objective, but not
+# before the second number of deviations, which one in six exceeds.
 HEDGE_DEVIATIONS = 1.75
 MIN_HEDGE_DEVIATIONS = 1.0
-# Part by which the time to come back is drawn longer: callers that were refused
-# together would all return together, and be refused once more.
+# Maximum share added at random to Retry-After, so that callers that were
+# refused together do not all retry at the same time.
 RETRY_AFTER_JITTER = 0.5
-# What arrived at a target though it did not run.
+# Refusals by the target itself: the request reached it but did not run.
 _REFUSED_BY_TARGET = (Reason.SHED,)
-# A refusal of this kind says nothing that the view of the target tells too.
+# Refusals after which the target is skipped for a while. For all others, the
+# reported state of the target already keeps requests away.
 _RETRY_ELSEWHERE = (
     Reason.BUSY,
     Reason.STALE,
@@ -60,24 +63,27 @@
 
 @dataclasses.dataclass
 class RetryState:
-    """What became of a request so far, and what it accepts.
+    """Results of a request so far, and what it accepts next.
 
     Attributes:
-        started: Monotonic seconds when it came.
-        deadline: Monotonic seconds.
-        tried: Targets that it arrived at.
-        refused: Targets that can't take it just now.
-        unproven: Those of them whose risk was too high to be the first choice.
-        attempts: Arrivals at targets.
-        possible_runs: Those of them that may have run.
-        budget_charged: Whether the next arrival has been taken from the budget.
-        process_exits_at: Monotonic seconds by which it must be over, as its
-            process ends then.
-        sound: Whether it accepts targets whose risk is not low, only no doubt.
-        wait: Whether it waits where no slot is free.
-        exclusive: Whether a target crashed that was running it.
-        polls: How often it found no target that it may be sent to.
-        refusals_by_reason: How often it was refused, for its story.
+        started: Monotonic seconds at which the request arrived.
+        deadline: Monotonic seconds at which the request times out.
+        tried: Targets that the request reached.
+        refused: Targets that can't accept the request at the moment.
+        unproven: Refused targets that were not known to be healthy enough.
+        attempts: Number of attempts that reached a target.
+        possible_runs: Number of attempts that ran or may have run.
+        budget_charged: Whether the next attempt has been charged to the retry
+            budget.
+        process_exits_at: Monotonic seconds at which this process exits.
+        accepts_unproven: Whether it accepts targets that are not ejected but
+            not proven to be healthy.
+        wait: Whether it queues at a target without a free slot.
+        exclusive: Whether it must run alone, as a target crashed while running
+            it.
+        polls: Number of searches that found no target.
+        refusals_by_reason: Number of refusals by reason, for the trace of the
+            request.
     """
 
     started: float
@@ -89,64 +95,76 @@
     possible_runs: int = 0
     budget_charged: bool = False
     process_exits_at: float = math.inf
-    sound: bool = False
+    accepts_unproven: bool = False
     wait: bool = False
     exclusive: bool = False
     refusals_by_reason: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     polls: int = 0
-    _expired: bool = False
+    _refused_for_good: bool = False
     _refusals: int = 0
     _queue_rejections: int = 0
 
     @property
     def exhausted(self) -> bool:
-        """Whether gates said that waiting takes too long, or has taken so."""
-        return self._expired or self._queue_rejections >= MAX_QUEUE_REJECTIONS
+        """Whether no target is left that could accept it in time."""
+        return (
+            self._refused_for_good
+            or self._queue_rejections >= MAX_QUEUE_REJECTIONS
+        )
 
-    def start_by(self, usual: latency.Distribution, aim: float) -> float:
-        """When it must have started; what ran once already is not bound.
+    def start_by(
+        self, distribution: latency.Distribution, soft_deadline: float
+    ) -> float:
+        """Returns the monotonic time by which the request must start to run.
 
-        Where there is too little for all, each slot given to a request that
-        can't be in time any more makes a further one late. So a request waits
-        only as long as its answer can have its full worth, and its caller is
-        told at once.
+        During overload, a slot given to a request that misses its objective
+        makes another request miss its own. So a request queues only while it
+        can still meet the objective, and is then refused. Requests that have
+        reached a target may start until the process exits.
 
         Args:
-            usual: Usual latency of its route.
-            aim: Monotonic seconds up to which an answer has its full worth.
+            distribution: Latency distribution of the route.
+            soft_deadline: Monotonic seconds up to which the objective is met.
         """
         if self.attempts:
             return self.process_exits_at
-        whole = self.deadline - self.started
-        latest = min(
-            self.process_exits_at, self.started + START_DEADLINE_SHARE * whole
+        time_limit = self.deadline - self.started
+        latest_start = min(
+            self.process_exits_at,
+            self.started + START_DEADLINE_SHARE * time_limit,
+        )
+        latest_for_objective = max(
+            soft_deadline - distribution.learned_median,
+            self.started + MIN_QUEUE_TIME,
         )
-        timely = max(aim - usual.learned_median, self.started + MIN_QUEUE_TIME)
-        return min(latest, timely)
+        return min(latest_start, latest_for_objective)
 
     def required_health(self, now: float) -> admission.RequiredHealth:
-        """How much doubt about a target it accepts by now."""
-        whole = self.deadline - self.started
-        if now >= self.started + RELAX_AFTER_SHARE * whole:
+        """Returns how healthy a target must be to be accepted now."""
+        time_limit = self.deadline - self.started
+        if now >= self.started + RELAX_AFTER_SHARE * time_limit:
             return admission.RequiredHealth.ANY
         return (
             admission.RequiredHealth.SOUND
-            if self.sound
+            if self.accepts_unproven
             else admission.RequiredHealth.PROVEN
         )
 
     def relax_requirements(self) -> bool:
-        """Accepts a worse target, where that is left; True when it is.
+        """Accepts targets that were not good enough so far.
 
-        First one with a slot free that did well of late; then an idle one of
-        which little is known; at last, to wait. While idle ones are left,
-        waiting at the others would waste them.
+        The request first requires a proven target with a free slot, then
+        accepts an unproven one that is idle, and at last queues. It does not
+        queue earlier, as idle targets would stay unused meanwhile.
+
+        Returns:
+            Whether there was anything left to relax.
         """
-        if self.unproven and not self.sound:
-            self.sound = True
-            # Those that are busy stay so; the idle ones are next.
+        if self.unproven and not self.accepts_unproven:
+            self.accepts_unproven = True
+            # Only unproven targets are asked again; the others are busy.
             self.refused -= self.unproven
         elif not self.wait:
             self.wait = True
@@ -158,20 +176,20 @@
         return True
 
     def next_poll_delay(self) -> float:
-        """Seconds until the next look, when nothing more can be accepted."""
-        seconds = min(MAX_POLL_INTERVAL, POLL_INTERVAL * 2**self.polls)
+        """Returns the seconds until the next search for a target."""
+        delay = min(MAX_POLL_INTERVAL, POLL_INTERVAL * 2**self.polls)
         self.polls += 1
         self.refused.clear()
-        return seconds
+        return delay
 
     def record_not_run(self, target: str, reason: Reason | None) -> None:
-        """A target did not run it."""
+        """Records that a target did not run the request."""
         self.refusals_by_reason[str(reason or "")] += 1
         if reason in _REFUSED_BY_TARGET:
             self._record_arrival(target)
         if reason in (Reason.DEADLINE, Reason.QUARANTINED):
-            # Any other gate would say the same, at once.
-            self._expired = True
+            # All other targets would refuse the request for the same reason.
+            self._refused_for_good = True
         if reason not in _RETRY_ELSEWHERE:
             return
         self.refused.add(target)
@@ -184,60 +202,68 @@
             self.relax_requirements()
 
     def record_run(self, target: str, reason: Reason | None = None) -> None:
-        """A target ran it, or may have."""
+        """Records that a target ran the request, or may have."""
         self._record_arrival(target)
         self.possible_runs += 1
         self.exclusive = self.exclusive or reason is Reason.TARGET_CRASHED
 
     def should_give_up(
-        self, usual: latency.Distribution, aim: float, now: float
+        self,
+        distribution: latency.Distribution,
+        soft_deadline: float,
+        now: float,
     ) -> bool:
-        """Whether it is given up: no answer can come in time any more.
+        """Returns whether it is too late for a response.
 
         Args:
-            usual: Usual latency of its route.
-            aim: Monotonic seconds up to which an answer has its full worth.
+            distribution: Latency distribution of the route.
+            soft_deadline: Monotonic seconds up to which the objective is met.
             now: Monotonic seconds.
         """
         if (
             self.polls
             and not self.attempts
-            and now >= self.start_by(usual, aim)
+            and now >= self.start_by(distribution, soft_deadline)
         ):
             return True
         if now >= min(self.deadline, self.process_exits_at):
             return True
-        # The first attempt is made whatever the time that is left.
-        return self.attempts > 0 and now + usual.median / 2 > self.deadline
+        # The first attempt is made regardless of the remaining time.
+        return (
+            self.attempts > 0 and now + distribution.median / 2 > self.deadline
+        )
 
     def hedge_delay(
-        self, usual: latency.Distribution, aim: float, now: float
+        self,
+        distribution: latency.Distribution,
+        soft_deadline: float,
+        now: float,
     ) -> float | None:
-        """Seconds until a second attempt beside the first; None for none.
+        """Returns the seconds until the hedged request; None for no hedge.
 
         Args:
-            usual: Usual latency of its route.
-            aim: Monotonic seconds up to which an answer has its full worth.
+            distribution: Latency distribution of the route.
+            soft_deadline: Monotonic seconds up to which the objective is met.
             now: Monotonic seconds.
         """
-        in_time = aim - now - usual.median
-        late, least = (
-            usual.quantile(HEDGE_DEVIATIONS),
-            usual.quantile(MIN_HEDGE_DEVIATIONS),
+        until_objective = soft_deadline - now - distribution.median
+        usual_delay, min_delay = (
+            distribution.quantile(HEDGE_DEVIATIONS),
+            distribution.quantile(MIN_HEDGE_DEVIATIONS),
         )
-        hedge_delay = max(least, min(late, in_time))
-        if now + hedge_delay + usual.median >= self.deadline:
+        delay = max(min_delay, min(usual_delay, until_objective))
+        if now + delay + distribution.median >= self.deadline:
             return None
-        return hedge_delay
+        return delay
 
-    def retry_after(self, expected: float, draw: float) -> float:
-        """Seconds after which its caller is told to come back.
+    def retry_after(self, expected: float, jitter: float) -> float:
+        """Returns the value of Retry-After in seconds, with jitter.
 
         Args:
-            expected: Seconds after which a slot is likely.
-            draw: A random number from 0 to 1.
+            expected: Seconds until a slot is likely to be free.
+            jitter: A random number from 0 to 1.
         """
-        return expected * (1 + RETRY_AFTER_JITTER * draw)
+        return expected * (1 + RETRY_AFTER_JITTER * jitter)
 
     def _record_arrival(self, target: str) -> None:
         self.attempts += 1
--- a/forklift/target_view.py
+++ b/forklift/target_view.py
@@ -1,6 +1,7 @@
-"""What an entry knows of one target, by the last word of its guard.
+"""What this process knows about a target, its own or another process's.
 
-Own requests are known exactly, those of others by a report that fades.
+Own requests are counted exactly. Those of other processes are known from the
+last load report of the target's process, whose weight decays with its age.
 """
 
 import math
@@ -11,12 +12,26 @@
 State = messages.TargetState
 OUT_OF_SERVICE = (State.PAUSED, State.DRAINING, State.LEFT)
 
-# Seconds in which load that others caused fades to a third.
+# Time constant of the decay of load caused by other processes.
 LOAD_DECAY_SECONDS = 1.0
 
 
 class TargetView:
-    """What the entry knows of one target."""
+    """State and load of one target as known to this process.
+
+    Attributes:
+        name: Name of the target.
+        process: Name of the process that owns the target.
+        boot: Boot number of that process.
+        same_domain: Whether the target is in our failure domain.
+        slots: Maximum number of requests that the target runs concurrently.
+        in_flight: Number of our requests on the target.
+        pick_count: Number of times that this process selected the target.
+        next_trial_at: Monotonic seconds from which a trial request may be sent
+            while the target is ejected.
+        wants_work: Whether its process asked for a request.
+        version: Version of the last load report.
+    """
 
     def __init__(
         self,
@@ -31,55 +46,56 @@
         self.slots = max(1, info.slots)
         self.in_flight = 0
         self.pick_count = 0
-        self.next_probe_at = 0.0
-        # Whether its guard asked for work.
+        self.next_trial_at = 0.0
         self.wants_work = False
         self._state = info.state
         self.version = 0
-        self._risk = health.UNHEALTHY_PRIOR
+        self._unhealthy_probability = health.UNHEALTHY_PRIOR
         self._used_at = float("-inf")
-        self._others = 0.0
-        self._others_at = float("-inf")
+        self._others_load = 0.0
+        self._reported_at = float("-inf")
 
     def update_info(self, info: messages.TargetInfo) -> None:
-        """Takes in what its guard tells everybody: that it leaves."""
+        """Applies the state from gossip if the target goes out of service."""
         if info.state in OUT_OF_SERVICE:
             self._state = info.state
 
     def update_load(self, load: messages.Load, now: float) -> None:
-        """Takes in the load that an answer or a notice carried."""
+        """Applies the load report of a response or load update."""
         if load.version < self.version or self._state in OUT_OF_SERVICE:
             return
         self.version = load.version
         self._state = load.state
-        self._risk = load.unhealthy_probability
+        self._unhealthy_probability = load.unhealthy_probability
         self._used_at = max(self._used_at, now - load.idle)
         others = load.in_flight + load.queued - self.in_flight
-        self._others = max(0, others)
-        self._others_at = now
+        self._others_load = max(0, others)
+        self._reported_at = now
 
     def state(self, now: float) -> State:
-        """Where it stands, by the last word of its guard.
+        """Returns the last reported state.
 
-        That it refused a request itself is forgotten soon: its guard says so
-        only to those that send to it, which nobody would any more.
+        Load shedding expires after `health.SHEDDING_SECONDS`: its end is
+        reported only in responses, and no process would send requests.
         """
-        fades = now - self._others_at >= health.SHEDDING_SECONDS
-        if self._state is State.SHEDDING and fades:
+        expired = now - self._reported_at >= health.SHEDDING_SECONDS
+        if self._state is State.SHEDDING and expired:
             return State.IN_SERVICE
         return self._state
 
     def unhealthy_probability(self, now: float) -> float:
-        """How likely it is in a bad phase, as far as is known here."""
-        return health.predict(self._risk, now - self._others_at)
+        """Returns the estimated probability that the target is unhealthy."""
+        return health.predict(
+            self._unhealthy_probability, now - self._reported_at
+        )
 
     def idle_seconds(self, now: float) -> float:
-        """Seconds since a request is known to have begun there."""
+        """Returns the seconds since the last known start of a request."""
         return now - self._used_at
 
     def load(self, now: float) -> float:
-        """Own requests plus those of others, which fade with age."""
-        age = now - self._others_at
-        return self.in_flight + self._others * math.exp(
+        """Returns our requests plus the decayed load of other processes."""
+        age = now - self._reported_at
+        return self.in_flight + self._others_load * math.exp(
             -age / LOAD_DECAY_SECONDS
         )
