--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -95,7 +95,7 @@
         version: Version of the state; increases within one boot.
         latency: Median latency of the route in seconds; 0 if unknown.
         idle: Seconds since the target last started a request.
-        unhealthy_probability: How likely it is in a bad phase, 0 to 1.
+        unhealthy_probability: Probability that the target is unhealthy, 0 to 1.
         latency_spread: Standard deviation of the logarithm of the latency.
         failure_percent: Percentage of failed requests to the service, as
             measured by the process that owns the target.
@@ -164,18 +164,16 @@
         route: Name of the route.
         origin: Service on the instance that received the request.
         priority: Priority; 0 is the highest.
-        required_health: How much doubt about its target it accepts; see
+        required_health: Minimum health of the target, as the number of an
             `admission.RequiredHealth`.
-        objective_remaining: Seconds left, when sent, for an answer of full
-            worth; negative
-            when that has passed.
+        objective_remaining: Seconds until the latency objective, at the time
+            of sending; negative if it has been missed.
         wait: Whether the request may wait for a free slot instead of being
             rejected.
         start_within: Seconds after sending within which it must start.
         fingerprint: Fingerprint of the request; equal if it is sent again.
-        exclusive: Whether it runs only where nothing else does: a target
-            crashed
-            that was running it.
+        exclusive: Whether the request must not run concurrently with others,
+            as a target crashed while running it.
         organisation: Name of the calling organisation, or empty.
     """
 
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -159,10 +159,10 @@
     Unknown fields are kept, as other versions of the program may use them.
     """
     record = msgspec.json.decode(data)
-    for one in record.get(_TENANTS_FIELD, {}).values():
-        keys = one.pop(_KEYS_FIELD, ())
+    for tenant in record.get(_TENANTS_FIELD, {}).values():
+        keys = tenant.pop(_KEYS_FIELD, ())
         digests = [organisations.digest(key.encode()).hex() for key in keys]
-        one[_DIGESTS_FIELD] = [*one.get(_DIGESTS_FIELD, ()), *digests]
+        tenant[_DIGESTS_FIELD] = [*tenant.get(_DIGESTS_FIELD, ()), *digests]
     return msgspec.json.encode(record)
 
 
--- a/forklift/platform/store.py
+++ b/forklift/platform/store.py
@@ -234,7 +234,7 @@
         if before is not None and epoch < before:
             self.failures += 1
             raise errors.RegistryUnavailable(
-                "stale response from before its restore"
+                "stale response from before the restore of the store"
             )
         self.epoch = epoch
         if before is not None and epoch > before:
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -107,12 +107,12 @@
 
 
 def test_runtime_requirements_match_the_lock_file():
-    whole = set((DOCS.parent / "requirements.lock").read_text().splitlines())
+    locked = set((DOCS.parent / "requirements.lock").read_text().splitlines())
     for line in (
         (DOCS.parent / "deploy/requirements.txt").read_text().split("\n")
     ):
         if line and not line.startswith("#"):
-            assert line in whole, line
+            assert line in locked, line
 
 
 def render(template: str, values: dict[str, str]) -> str:
--- a/test/test_fuzz.py
+++ b/test/test_fuzz.py
@@ -21,7 +21,9 @@
 from test import processes
 from test import test_ui
 
-few = hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
+fuzz_settings = hypothesis.settings(
+    max_examples=300, deadline=None, derandomize=True
+)
 VALID = [
     messages.encode(messages.Cancel(7)),
     messages.encode(messages.KeepAlive(1, True)),
@@ -44,7 +46,7 @@
 
 
 @hypothesis.given(strategies.binary(max_size=400) | mutated())
-@few
+@fuzz_settings
 def test_messages_round_trip_or_are_rejected(data):
     for decode in (
         messages.decode_frame,
@@ -68,7 +70,7 @@
 
 
 @hypothesis.given(strategies.binary(max_size=400))
-@few
+@fuzz_settings
 def test_store_responses_raise_documented_errors(data):
     try:
         _, _, records = store._split_records(data)
@@ -81,7 +83,7 @@
 @hypothesis.given(
     strategies.binary(max_size=300) | strategies.text().map(str.encode)
 )
-@few
+@fuzz_settings
 def test_configuration_records_raise_documented_errors(data):
     try:
         store.decode(data)
@@ -90,18 +92,18 @@
 
 
 @hypothesis.given(strategies.binary(max_size=300))
-@few
+@fuzz_settings
 def test_heartbeat_is_accepted_or_rejected(data):
     seen = []
     calls = endpoints.Endpoints(seen.append, seen.append, lambda: True)
     path = "/Instances.Heartbeat/t"
     request = server.Request("POST", path, (), data)
-    answer = helper.run(calls.heartbeat(request))
-    assert (answer.status == 200) == bool(seen)
+    response = helper.run(calls.heartbeat(request))
+    assert (response.status == 200) == bool(seen)
 
 
 @hypothesis.given(strategies.binary(max_size=300))
-@few
+@fuzz_settings
 def test_request_heads_raise_documented_errors(data):
     try:
         http.check_head(data)
@@ -121,7 +123,7 @@
 
 
 @hypothesis.given(ini_text)
-@few
+@fuzz_settings
 def test_ini_files_raise_documented_errors(text):
     for parse in (settings.parse, policy.parse):
         try:
@@ -131,7 +133,7 @@
 
 
 @hypothesis.given(strategies.text(max_size=60))
-@few
+@fuzz_settings
 def test_expressions_raise_documented_errors(text):
     try:
         policy.expressions.Expression(text, {"status": 1}, False)
@@ -142,13 +144,13 @@
 def test_process_survives_mutated_requests():
     """A process that received randomly mutated requests must still serve."""
     rng = random.Random(5)
-    whole = (
+    requests = (
         b"POST /a/1 HTTP/1.1\r\nhost: h\r\nx-request-id: i\r\n"
         b"content-length: 2\r\n\r\n{}"
     )
 
     async def one(address):
-        data = bytearray(whole * rng.choice((1, 2)))
+        data = bytearray(requests * rng.choice((1, 2)))
         for _ in range(rng.randrange(1, 6)):
             data[rng.randrange(len(data))] = rng.randrange(256)
         connection = await wire.connect(address)
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -28,7 +28,9 @@
 from forklift.shell import upstream
 from test import helper
 
-few = hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
+fuzz_settings = hypothesis.settings(
+    max_examples=200, deadline=None, derandomize=True
+)
 DEEPLY_NESTED = b"[" * 100_000
 
 # Values that are invalid for most fields.
@@ -138,17 +140,17 @@
 
 
 @hypothesis.given(with_one_change(HEARTBEAT) | ANY_BYTES)
-@few
+@fuzz_settings
 def test_heartbeat_is_accepted_or_rejected(body):
     one = Receiver()
     status = one.call("/Instances.Heartbeat/i-1", body)
     assert status == (200 if one.seen else 400)
-    for said in one.seen:
+    for announced in one.seen:
         # Changes of optional or free-text fields are accepted.
-        assert said.incarnation.target == "i-1"
-        assert 1 <= said.slots <= endpoints.MAX_SLOTS
-        assert 0 <= said.sequence <= endpoints.MAX_SAFE_INTEGER
-        assert 0 <= said.cold <= endpoints.MAX_WARMUP_MS
+        assert announced.incarnation.target == "i-1"
+        assert 1 <= announced.slots <= endpoints.MAX_SLOTS
+        assert 0 <= announced.sequence <= endpoints.MAX_SAFE_INTEGER
+        assert 0 <= announced.cold <= endpoints.MAX_WARMUP_MS
 
 
 @pytest.mark.parametrize(
@@ -180,7 +182,7 @@
 @hypothesis.given(
     strategies.text(max_size=300), with_one_change({"born": 5}) | ANY_BYTES
 )
-@few
+@fuzz_settings
 def test_deregistration_is_accepted_or_rejected(target, body):
     one = Receiver()
     status = one.call(f"/Instances.Deregister/{target}", body)
@@ -192,7 +194,7 @@
     strategies.binary(max_size=60).filter(lambda v: b"\n" not in v)
     | strategies.just(b"1,1," + b"9" * 5000),
 )
-@few
+@fuzz_settings
 def test_health_response_headers_are_sanitized(name, load):
     try:
         response = h11.Response(
@@ -220,7 +222,7 @@
 
 
 @hypothesis.given(with_one_change(RECORD) | ANY_BYTES)
-@few
+@fuzz_settings
 def test_configuration_record_is_accepted_or_rejected(data):
     try:
         found = configuration.decode(data)
@@ -267,7 +269,7 @@
 
 
 @hypothesis.given(with_one_change(PAGE) | ANY_BYTES)
-@few
+@fuzz_settings
 def test_read_of_newest_records_raises_documented_errors(body):
     for ask in (adapter.Store.members, adapter.Store.configuration):
         try:
@@ -277,7 +279,7 @@
 
 
 @hypothesis.given(ANY_BYTES)
-@few
+@fuzz_settings
 def test_read_of_next_record_raises_documented_errors(body):
     try:
         helper.run(store_with(body).next_configuration(0, 0.0))
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -151,8 +151,8 @@
     receiver = Receiver()
     body = json.dumps({**HEARTBEAT, "born": 1764720000123}).encode()
     assert receiver.call("/Instances.Heartbeat/i-1", body).status == 200
-    (said,) = receiver.announcements
-    assert said.incarnation == announcement.TargetIncarnation(
+    (announced,) = receiver.announcements
+    assert announced.incarnation == announcement.TargetIncarnation(
         "i-1", 1764720000123
     )
 
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -188,7 +188,7 @@
 def test_some_process_always_restarts_its_read_soon(processes):
     """If all connections to the store are dead, only a new read succeeds."""
 
-    async def wait_of(count: int) -> float:
+    async def first_wait(count: int) -> float:
         store = HangingStore()
         follower = registry.Follower(
             store, random.Random(count), [].append, lambda: processes
@@ -198,7 +198,7 @@
         task.cancel()
         return store.waits[0]
 
-    waits = [helper.run(wait_of(count)) for count in range(20)]
+    waits = [helper.run(first_wait(count)) for count in range(20)]
     longest = registry.WAIT * (1 + registry.WAIT_SPREAD)
     assert max(waits) <= longest
     mean = sum(waits) / len(waits)
@@ -286,14 +286,14 @@
 
     def __init__(self):
         super().__init__()
-        self.told = asyncio.Event()
+        self.notified = asyncio.Event()
 
     async def next_configuration(
         self, position: int, wait: float
     ) -> interfaces.ConfigurationRead:
         self.waits.append(wait)
         if position == 0:
-            await self.told.wait()
+            await self.notified.wait()
             return interfaces.ConfigurationRead(b"record", 1)
         return await asyncio.Future()
 
@@ -312,7 +312,7 @@
             )
             tasks.append(asyncio.create_task(follower.run()))
         await helper.until(lambda: len(store.waits) == 31)
-        store.told.set()
+        store.notified.set()
         await helper.until(lambda: len(store.waits) == 62)
         for task in tasks:
             task.cancel()
