--- a/forklift/counters.py
+++ b/forklift/counters.py
@@ -1,17 +1,30 @@
-"""Counts what a process did, in plain numbers that cost next to nothing.
+"""Request counters and latency histograms of one process.
 
-Metrics are built from them only when somebody reads metrics.
+They are plain numbers; metrics are built from them only when they are read.
 """
 
 import bisect
 import collections
 
-# Upper bounds of the buckets of durations, seconds.
-BOUNDS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
+# Upper bounds of the histogram buckets, seconds.
+BUCKET_BOUNDS = (
+    0.002,
+    0.005,
+    0.01,
+    0.02,
+    0.05,
+    0.1,
+    0.2,
+    0.5,
+    1.0,
+    2.0,
+    5.0,
+    10.0,
+)
 
 
 class Histogram:
-    """Durations by bucket.
+    """Histogram of durations.
 
     >>> histogram = Histogram()
     >>> histogram.add(0.003); histogram.add(100.0)
@@ -21,21 +34,23 @@
 
     def __init__(self):
         self.sum = 0.0
-        self._counts = [0] * (len(BOUNDS) + 1)
+        self._counts = [0] * (len(BUCKET_BOUNDS) + 1)
 
     def add(self, seconds: float) -> None:
-        """Counts a duration."""
+        """Records a duration."""
         self.sum += seconds
-        self._counts[bisect.bisect_left(BOUNDS, seconds)] += 1
+        self._counts[bisect.bisect_left(BUCKET_BOUNDS, seconds)] += 1
 
     def cumulative(self) -> list[tuple[str, int]]:
-        """Counts up to each bound, as histograms are read."""
+        """Cumulative counts by upper bound, as Prometheus expects them."""
         total = 0
-        found = []
-        for bound, count in zip((*BOUNDS, "+Inf"), self._counts, strict=True):
+        buckets = []
+        for bound, count in zip(
+            (*BUCKET_BOUNDS, "+Inf"), self._counts, strict=True
+        ):
             total += count
-            found.append((str(bound), total))
-        return found
+            buckets.append((str(bound), total))
+        return buckets
 
 
 class Counters:
@@ -51,13 +66,13 @@
         )
 
     def record_refusal(self, reason: str) -> None:
-        """What came was refused before it was a request of any service."""
+        """Counts a request that was refused before it had a service."""
         self.requests_by_outcome[("not-run", str(reason))] += 1
 
     def record_request(
         self, service: str, outcome: str, reason: str, seconds: float
     ) -> None:
-        """A request of a caller ended."""
+        """Counts the end of a caller's request."""
         self.requests_by_outcome[(outcome, reason)] += 1
         histogram = self.durations_by_service.get(service)
         if histogram is None:
--- a/forklift/crash_candidates.py
+++ b/forklift/crash_candidates.py
@@ -1,60 +1,63 @@
-"""What a target was running when it crashed."""
+"""Requests that a crash of a target may be blamed on."""
 
 import dataclasses
 
-# Seconds after its end in which a request without an answer may still have been
-# the cause: a target may run on though nobody waits, and tells of its restart
-# with its next heartbeat only.
-LINGERS = 5.0
-# Requests kept of those that ended so; the oldest are dropped first.
-MOST_ENDED = 64
+# Seconds for which an unanswered request remains a candidate after its end. The
+# target may still run it, and reports a restart with its next heartbeat only.
+RETENTION_SECONDS = 5.0
+# Ended requests kept; the oldest are dropped first.
+MAX_ENDED = 64
 
 
 @dataclasses.dataclass
-class _Run:
+class _Request:
     fingerprint: bytes
     ended: float | None = None
 
 
 class CrashCandidates:
-    """The requests that one life of a target was given and did not answer."""
+    """Unanswered requests of one incarnation of a target."""
 
     def __init__(self):
-        self._run_by_id: dict[object, _Run] = {}
+        self._request_by_id: dict[object, _Request] = {}
 
     def add(self, request: object, fingerprint: bytes, now: float) -> None:
-        """A request is about to be sent to the target."""
-        self._forget(now)
-        self._run_by_id[request] = _Run(fingerprint)
+        """Adds a request that is about to be sent to the target."""
+        self._expire(now)
+        self._request_by_id[request] = _Request(fingerprint)
 
     def discard(self, request: object) -> None:
-        """The target answered it, or did not run it."""
-        self._run_by_id.pop(request, None)
+        """Removes a request that the target answered or did not run."""
+        self._request_by_id.pop(request, None)
 
     def mark_ended(self, request: object, now: float) -> None:
-        """It ended without an answer; the target may still run it."""
-        run = self._run_by_id.get(request)
-        if run is not None:
-            run.ended = now
+        """Marks a request that ended unanswered and may still be running."""
+        candidate = self._request_by_id.get(request)
+        if candidate is not None:
+            candidate.ended = now
 
     def contains(self, request: object) -> bool:
-        """Whether it is among what a crash now would be held against."""
-        return request in self._run_by_id
+        """Whether a crash now could be blamed on the request."""
+        return request in self._request_by_id
 
     def take_fingerprints(self, now: float) -> set[bytes]:
-        """The target crashed: fingerprints of what it may have run."""
-        self._forget(now)
-        found = {run.fingerprint for run in self._run_by_id.values()}
-        self._run_by_id.clear()
-        return found
-
-    def _forget(self, now: float) -> None:
+        """Removes all requests and returns their fingerprints."""
+        self._expire(now)
+        fingerprints = {
+            candidate.fingerprint for candidate in self._request_by_id.values()
+        }
+        self._request_by_id.clear()
+        return fingerprints
+
+    def _expire(self, now: float) -> None:
         ended = [
             request
-            for request, run in self._run_by_id.items()
-            if run.ended is not None
+            for request, candidate in self._request_by_id.items()
+            if candidate.ended is not None
         ]
         for number, request in enumerate(reversed(ended)):
-            late = now - self._run_by_id[request].ended > LINGERS
-            if late or number >= MOST_ENDED:
-                del self._run_by_id[request]
+            expired = (
+                now - self._request_by_id[request].ended > RETENTION_SECONDS
+            )
+            if expired or number >= MAX_ENDED:
+                del self._request_by_id[request]
--- a/forklift/fences.py
+++ b/forklift/fences.py
@@ -1,7 +1,8 @@
-"""What a guard knows for certain of starts: the base of 'not run'.
+"""Started and fenced requests of a process, the proof of 'not run'.
 
-A request is named by the boot and number that its sender gave it. Once it is
-fenced it never starts; once it has started it is never reported as not run.
+A request is identified by the boot identity and the sequence number of its
+sender. A fenced request never starts; a started one is never reported as not
+run.
 """
 
 import collections
@@ -15,56 +16,56 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Mark:
-    until: float
+class _Entry:
+    expires_at: float
     started: bool
 
 
 class Fences:
-    """Starts and fences of a guard, each remembered past any deadline."""
+    """Started and fenced requests, kept for longer than any deadline."""
 
     def __init__(self):
-        self._mark_by_id: collections.OrderedDict[RequestKey, _Mark] = (
+        self._entry_by_key: collections.OrderedDict[RequestKey, _Entry] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._mark_by_id)
+        return len(self._entry_by_key)
 
     def may_start(self, request: RequestKey) -> bool:
-        """Whether it was neither started nor fenced."""
-        return request not in self._mark_by_id
+        """Whether the request was neither started nor fenced."""
+        return request not in self._entry_by_key
 
     def has_started(self, request: RequestKey) -> bool:
-        """Whether it passed the point of no return here."""
-        mark = self._mark_by_id.get(request)
-        return mark is not None and mark.started
+        """Whether the request was started here."""
+        entry = self._entry_by_key.get(request)
+        return entry is not None and entry.started
 
     def try_start(self, request: RequestKey, now: float) -> bool:
-        """Marks the point of no return; False when it must not start."""
+        """Marks a request as started; False if it must not start."""
         self._expire(now)
         if not self.may_start(request):
             return False
-        self._mark_by_id[request] = _Mark(now + RETENTION_SECONDS, True)
+        self._entry_by_key[request] = _Entry(now + RETENTION_SECONDS, True)
         return True
 
     def fence(self, request: RequestKey, now: float) -> bool:
-        """Forbids a start; False when it has started already."""
+        """Prevents a request from starting; False if it has started."""
         self._expire(now)
-        mark = self._mark_by_id.get(request)
-        if mark is None:
-            self._mark_by_id[request] = _Mark(now + RETENTION_SECONDS, False)
+        entry = self._entry_by_key.get(request)
+        if entry is None:
+            self._entry_by_key[request] = _Entry(now + RETENTION_SECONDS, False)
             return True
-        return not mark.started
+        return not entry.started
 
     def check_not_started(self, request: RequestKey) -> bool:
-        """Asserts that a request which is reported as not run isn't."""
+        """Checks that a request reported as not run was not started."""
         started = self.has_started(request)
         return invariants.not_run_is_true(started, f"{request}")
 
     def _expire(self, now: float) -> None:
-        while self._mark_by_id:
-            first = next(iter(self._mark_by_id))
-            if self._mark_by_id[first].until > now:
+        while self._entry_by_key:
+            first = next(iter(self._entry_by_key))
+            if self._entry_by_key[first].expires_at > now:
                 return
-            del self._mark_by_id[first]
+            del self._entry_by_key[first]
--- a/forklift/health.py
+++ b/forklift/health.py
@@ -1,12 +1,10 @@
-"""Judges one target, at its guard, by the requests that it was given.
-
-Targets fail most of what reaches them for some seconds at a time, while their
-health endpoint says that all is well. Some break connections at once, some
-answer with errors, some never answer. So the target is taken to be in one of
-two phases, good or bad, and each request is weighed by how likely its course
-so far is in either: a filter over a two-state Markov chain. A request that has
-not ended is evidence, too: weak while it is young, strong once a sound target
-would have answered.
+"""Passive health checking of one target, from the requests sent to it.
+
+A target may fail most requests for some seconds while its health endpoint
+reports success. The target is modelled as a two-state Markov chain, healthy or
+unhealthy, and a Bayesian filter estimates the probability that it is unhealthy
+from the end of each request. Requests in flight count too: the longer one runs
+beyond the usual latency, the stronger it indicates a hanging target.
 """
 
 import dataclasses
@@ -17,7 +15,7 @@
 
 
 class Signal(enum.StrEnum):
-    """What the end of a request, or its age, says of its target."""
+    """What the end or the age of a request says about the target's health."""
 
     WELL = "well"
     ERROR = "error"
@@ -27,58 +25,57 @@
     UNREACHABLE = "unreachable"
 
 
-# Mean length of good and of bad phases, seconds. Phases of 2 to 8 s were seen,
-# targets being bad for a quarter to a third of all time.
+# Mean time that a target stays in each state.
 MEAN_HEALTHY_SECONDS = 12.0
 MEAN_UNHEALTHY_SECONDS = 4.0
-# Share of the requests that fail in a bad phase: 0.75 to 0.85 were seen.
+# Share of requests that fail at an unhealthy target.
 UNHEALTHY_FAILURE_RATE = 0.75
-# Share of requests that end so in a good phase. Errors: until they are counted,
-# and at least; a target's own were 1.2 in 100, but a target whose calls to
-# others fail answered one in five with an error and was well itself.
-ERRORS_LEAST = 0.03
-ERRORS_MOST = 0.5
-# Weight of the last answer in the share of errors: some thirty answers.
-ERRORS_GAIN = 0.03
-FAILS_WHEN_GOOD_BY_SIGN = {
+# Bounds on the learned error rate of a healthy target. It may be high when the
+# calls that the target makes to other services fail.
+MIN_ERROR_RATE = 0.03
+MAX_ERROR_RATE = 0.5
+# Weight of the last response in the error rate.
+ERROR_RATE_GAIN = 0.03
+# Share of requests that fail in other ways at a healthy target.
+HEALTHY_FAILURE_RATE_BY_SIGNAL = {
     Signal.BROKEN: 0.005,
     Signal.UNREACHABLE: 0.005,
     Signal.OVERDUE: 0.005,
 }
-# No belief is firmer than this: a phase may end at any moment, and three good
-# answers are to be enough to see it.
-FIRMEST = 0.97
-# Risk from which a target is doubted, and below which it is trusted again.
+# Upper bound on the probability of either state, so that a few responses are
+# enough to reveal a change.
+MAX_CONFIDENCE = 0.97
+# Probabilities of being unhealthy above which a target is ejected, and below
+# which it is reinstated.
 EJECTION_THRESHOLD = 0.5
 REINSTATEMENT_THRESHOLD = 0.3
-# A failure that shows within this time shows at once, seconds.
+# Failures within this time are fast, such as a refused or reset connection.
 FAST_FAILURE_SECONDS = 0.02
-# Share of failures that take long, until failures have told, and the weight
-# of the last one in it: a target mostly keeps to one way to fail.
-SLOW_SHARE = 0.5
-SLOW_GAIN = 0.3
-# Share of sound requests that still run from which on one that ran so long
-# says all it can.
-SETTLED = 0.01
-# Seconds between two tests of a doubted target while they fail: a test that
-# hangs costs a repeat, and a target is to be back within a second after it is
-# well again.
+# Initial share of failures that are slow, and the weight of the last failure
+# in that share. A target mostly fails in the same way.
+INITIAL_SLOW_FAILURE_SHARE = 0.5
+SLOW_FAILURE_GAIN = 0.3
+# A request in flight is final evidence when less than this share of successful
+# requests run as long.
+SETTLED_SURVIVAL = 0.01
+# Time between trial requests to an ejected target while they fail. It bounds
+# the retries that hanging trials cost, and the delay of the reinstatement.
 TRIAL_INTERVAL_SECONDS = 0.4
-# Share of sound requests that still run from which on a test need not be
-# waited for.
-SCOUT_LATE = 0.1
-# Seconds for which one refusal by the target itself counts.
+# A request counts as late when less than this share of successful requests run
+# as long. A late trial request does not delay the next one.
+LATE_SURVIVAL = 0.1
+# Time that a target counts as shedding load after it refused a request.
 SHEDDING_SECONDS = 1.0
-# Changes that are kept to explain a target to an operator.
+# Ejections and reinstatements kept for the report to operators.
 MAX_CHANGES = 20
 
-_RATE = 1 / MEAN_HEALTHY_SECONDS + 1 / MEAN_UNHEALTHY_SECONDS
-# Risk of a target of which nothing was heard for long.
-UNHEALTHY_PRIOR = (1 / MEAN_HEALTHY_SECONDS) / _RATE
+_TRANSITION_RATE = 1 / MEAN_HEALTHY_SECONDS + 1 / MEAN_UNHEALTHY_SECONDS
+# Stationary probability of the unhealthy state.
+UNHEALTHY_PRIOR = (1 / MEAN_HEALTHY_SECONDS) / _TRANSITION_RATE
 
 
 def predict(unhealthy_probability: float, seconds: float) -> float:
-    """What a risk becomes while nothing is heard.
+    """Probability of being unhealthy after a time without evidence.
 
     >>> predict(UNHEALTHY_PRIOR, 3.0) == UNHEALTHY_PRIOR
     True
@@ -87,18 +84,18 @@
     """
     return UNHEALTHY_PRIOR + (
         unhealthy_probability - UNHEALTHY_PRIOR
-    ) * math.exp(-_RATE * max(0.0, seconds))
+    ) * math.exp(-_TRANSITION_RATE * max(0.0, seconds))
 
 
 @dataclasses.dataclass(frozen=True)
 class EjectionChange:
-    """A doubt was raised or lifted.
+    """An ejection or a reinstatement of the target.
 
     Attributes:
         at: Monotonic seconds.
-        doubted: Whether the target is doubted since.
-        sign: What caused it.
-        risk: How likely the target is in a bad phase, 0 to 1.
+        ejected: Whether the target was ejected; else it was reinstated.
+        signal: Cause of the ejection.
+        unhealthy_probability: Probability that the target was unhealthy.
     """
 
     at: float
@@ -108,114 +105,128 @@
 
 
 @dataclasses.dataclass
-class _Run:
-    """One request that the target was given."""
+class _Request:
+    """One request that was sent to the target."""
 
     started: float
-    usual: latency.Distribution
+    distribution: latency.Distribution
     signal: Signal | None = None
-    # Share of errors among answers when it ended.
-    errors: float = ERRORS_LEAST
-    # How long it was watched, once that is over.
-    watched: float | None = None
+    # Error rate of the target when the request ended.
+    error_rate: float = MIN_ERROR_RATE
+    # Age at its end, seconds; None while it is in flight.
+    observed: float | None = None
 
 
 class Health:
-    """What is believed of one target."""
+    """Health estimate and ejection state of one target.
+
+    Attributes:
+        ejected_since: Monotonic seconds of the ejection; None if not ejected.
+        changes: The latest ejections and reinstatements, the oldest first.
+        signal: Cause of the ejection; `WELL` if not ejected.
+    """
 
     def __init__(self):
         self.ejected_since: float | None = None
         self.changes: list[EjectionChange] = []
         self.signal = Signal.WELL
-        self._slow_share = SLOW_SHARE
-        self._errors = ERRORS_LEAST
-        self._run_by_id: dict[object, _Run] = {}
-        # In the order of their starts; what came before is in the belief.
-        self._runs: list[_Run] = []
-        self._belief = UNHEALTHY_PRIOR
-        self._believed_at = float("-inf")
-        self._shed_at = float("-inf")
-        self._next_scout = float("-inf")
+        self._slow_failure_share = INITIAL_SLOW_FAILURE_SHARE
+        self._error_rate = MIN_ERROR_RATE
+        self._request_by_id: dict[object, _Request] = {}
+        # Ordered by start; earlier ones are part of the probability.
+        self._requests: list[_Request] = []
+        self._probability = UNHEALTHY_PRIOR
+        self._probability_at = float("-inf")
+        self._shed_request_at = float("-inf")
+        self._next_trial_at = float("-inf")
 
     @property
     def ejected(self) -> bool:
-        """Whether the target is doubted."""
+        """Whether the target is ejected."""
         return self.ejected_since is not None
 
     def shedding(self, now: float) -> bool:
-        """Whether the target itself refused a request of late."""
-        return now - self._shed_at < SHEDDING_SECONDS
+        """Whether the target has recently refused a request itself."""
+        return now - self._shed_request_at < SHEDDING_SECONDS
 
     def begin(
-        self, request: object, usual: latency.Distribution, now: float
+        self, request: object, distribution: latency.Distribution, now: float
     ) -> None:
-        """The target is given a request.
+        """Records that a request is sent to the target.
 
         Args:
-            request: Names it until its end.
-            usual: The latency of its route.
+            request: Identifies the request until its end.
+            distribution: Latency distribution of its route.
             now: Monotonic seconds.
         """
-        run = _Run(now, usual)
-        self._run_by_id[request] = run
-        self._runs.append(run)
+        record = _Request(now, distribution)
+        self._request_by_id[request] = record
+        self._requests.append(record)
         if self.ejected:
-            self._next_scout = now + TRIAL_INTERVAL_SECONDS
+            self._next_trial_at = now + TRIAL_INTERVAL_SECONDS
 
-    def end(self, request: object, sign: Signal | None, now: float) -> bool:
-        """A request is over; True when a doubt was raised or lifted.
+    def end(self, request: object, signal: Signal | None, now: float) -> bool:
+        """Records the end of a request.
 
         Args:
             request: The same as at its start.
-            sign: How it ended; None where it was cut off from outside.
+            signal: How it ended; None if it was cancelled.
             now: Monotonic seconds.
+
+        Returns:
+            Whether the target was ejected or reinstated.
         """
-        run = self._run_by_id.pop(request, None)
-        if run is None:
+        record = self._request_by_id.pop(request, None)
+        if record is None:
             return False
-        age = now - run.started
-        run.watched = age
-        run.signal = sign
-        run.errors = self._errors
-        self._count_error(sign)
-        if sign is Signal.SHED:
-            self._shed_at = now
-        elif sign is not Signal.WELL:
-            self._learn_shape(run, age)
-        elif run.started > self._shed_at:
-            self._shed_at = float("-inf")
-        if sign is Signal.WELL and self.ejected:
-            # The next test need not wait: this one did well.
-            self._next_scout = now
-        return self.evaluate(now, sign)
+        age = now - record.started
+        record.observed = age
+        record.signal = signal
+        record.error_rate = self._error_rate
+        self._record_error(signal)
+        if signal is Signal.SHED:
+            self._shed_request_at = now
+        elif signal is not Signal.WELL:
+            self._record_failure_speed(record, age)
+        elif record.started > self._shed_request_at:
+            self._shed_request_at = float("-inf")
+        if signal is Signal.WELL and self.ejected:
+            # A successful trial allows the next one at once.
+            self._next_trial_at = now
+        return self.evaluate(now, signal)
 
     def unhealthy_probability(self, now: float) -> float:
-        """How likely the target is in a bad phase, 0 to 1."""
-        self._settle(now)
-        belief, at = self._belief, self._believed_at
-        for run in self._runs:
-            belief = self._weigh(predict(belief, run.started - at), run, now)
-            at = run.started
-        return predict(belief, now - at)
+        """Probability that the target is unhealthy, 0 to 1."""
+        self._fold_settled(now)
+        probability, at = self._probability, self._probability_at
+        for record in self._requests:
+            probability = self._update(
+                predict(probability, record.started - at), record, now
+            )
+            at = record.started
+        return predict(probability, now - at)
 
-    def evaluate(self, now: float, sign: Signal | None = None) -> bool:
-        """Raises or lifts the doubt; True when that changed.
+    def evaluate(self, now: float, signal: Signal | None = None) -> bool:
+        """Ejects or reinstates the target if its probability requires it.
 
         Args:
             now: Monotonic seconds.
-            sign: How a request has just ended; None where only time passed.
+            signal: How a request has just ended; None if none has.
+
+        Returns:
+            Whether the target was ejected or reinstated.
         """
         unhealthy_probability = self.unhealthy_probability(now)
         if not self.ejected and unhealthy_probability > EJECTION_THRESHOLD:
             self.ejected_since = now
-            failed = sign not in (None, Signal.WELL, Signal.SHED)
-            self.signal = sign if failed else Signal.OVERDUE
-            self._next_scout = now + TRIAL_INTERVAL_SECONDS
+            failed = signal not in (None, Signal.WELL, Signal.SHED)
+            self.signal = signal if failed else Signal.OVERDUE
+            self._next_trial_at = now + TRIAL_INTERVAL_SECONDS
         elif self.ejected and unhealthy_probability < REINSTATEMENT_THRESHOLD:
             self.ejected_since = None
         else:
             return False
-        self._change(
+        self._record_change(
             EjectionChange(
                 now, self.ejected, self.signal, round(unhealthy_probability, 3)
             )
@@ -225,78 +236,98 @@
         return True
 
     def allows_trial(self, now: float) -> bool:
-        """Whether a repeatable request may test the target now."""
-        return now >= self._next_scout and not self._tested(now)
+        """Whether an idempotent request may be sent as a trial now."""
+        return now >= self._next_trial_at and not self._trial_pending(now)
 
     def exclude_pause(self, seconds: float) -> None:
-        """This process stood still: what is in flight aged unseen."""
-        for run in self._run_by_id.values():
-            run.started += seconds
+        """Excludes a pause of this process from the age of requests."""
+        for record in self._request_by_id.values():
+            record.started += seconds
 
-    def _tested(self, now: float) -> bool:
-        """Whether a request is under way whose end is worth waiting for."""
+    def _trial_pending(self, now: float) -> bool:
+        """Whether a trial request is in flight that is not late yet."""
         since = self.ejected_since if self.ejected_since is not None else now
         return any(
-            run.started >= since
-            and run.usual.survival(now - run.started) > SCOUT_LATE
-            for run in self._run_by_id.values()
+            record.started >= since
+            and record.distribution.survival(now - record.started)
+            > LATE_SURVIVAL
+            for record in self._request_by_id.values()
         )
 
-    def _settle(self, now: float) -> None:
-        """Takes into the belief what can change no more."""
+    def _fold_settled(self, now: float) -> None:
+        """Folds the requests with final evidence into the probability."""
         count = 0
-        for run in self._runs:
-            if run.watched is None and self._open(run, now):
+        for record in self._requests:
+            if record.observed is None and self._is_open(record, now):
                 break
-            belief = predict(self._belief, run.started - self._believed_at)
-            self._belief = self._weigh(belief, run, now)
-            self._believed_at = run.started
+            probability = predict(
+                self._probability, record.started - self._probability_at
+            )
+            self._probability = self._update(probability, record, now)
+            self._probability_at = record.started
             count += 1
-        del self._runs[:count]
+        del self._requests[:count]
 
-    def _open(self, run: _Run, now: float) -> bool:
-        return run.usual.survival(now - run.started) > SETTLED
+    def _is_open(self, record: _Request, now: float) -> bool:
+        return (
+            record.distribution.survival(now - record.started)
+            > SETTLED_SURVIVAL
+        )
 
-    def _weigh(self, belief: float, run: _Run, now: float) -> float:
-        odds = belief / (1 - belief) * self._ratio(run, now)
-        return min(FIRMEST, max(1 - FIRMEST, odds / (1 + odds)))
+    def _update(
+        self, probability: float, record: _Request, now: float
+    ) -> float:
+        odds = (
+            probability
+            / (1 - probability)
+            * self._likelihood_ratio(record, now)
+        )
+        return min(MAX_CONFIDENCE, max(1 - MAX_CONFIDENCE, odds / (1 + odds)))
 
-    def _ratio(self, run: _Run, now: float) -> float:
-        """Likelihood of a request's course in a bad phase against a good."""
-        if run.signal is Signal.WELL:
+    def _likelihood_ratio(self, record: _Request, now: float) -> float:
+        """Likelihood ratio of a request: unhealthy against healthy target."""
+        if record.signal is Signal.WELL:
             return 1 - UNHEALTHY_FAILURE_RATE
-        if run.signal is Signal.SHED:
+        if record.signal is Signal.SHED:
             return 1.0
-        if run.signal is not None:
-            good = FAILS_WHEN_GOOD_BY_SIGN.get(run.signal, run.errors)
-            return UNHEALTHY_FAILURE_RATE / good
-        age = now - run.started if run.watched is None else run.watched
-        sound = run.usual.survival(age)
-        hidden = 1.0 if age < FAST_FAILURE_SECONDS else self._slow_share
-        bad = (
+        if record.signal is not None:
+            healthy = HEALTHY_FAILURE_RATE_BY_SIGNAL.get(
+                record.signal, record.error_rate
+            )
+            return UNHEALTHY_FAILURE_RATE / healthy
+        age = (
+            now - record.started if record.observed is None else record.observed
+        )
+        survival = record.distribution.survival(age)
+        still_running = (
+            1.0 if age < FAST_FAILURE_SECONDS else self._slow_failure_share
+        )
+        unhealthy = (
             1 - UNHEALTHY_FAILURE_RATE
-        ) * sound + UNHEALTHY_FAILURE_RATE * hidden
-        hangs = FAILS_WHEN_GOOD_BY_SIGN[Signal.OVERDUE]
-        return bad / (hangs + (1 - hangs) * sound)
+        ) * survival + UNHEALTHY_FAILURE_RATE * still_running
+        overdue_rate = HEALTHY_FAILURE_RATE_BY_SIGNAL[Signal.OVERDUE]
+        return unhealthy / (overdue_rate + (1 - overdue_rate) * survival)
 
-    def _count_error(self, sign: Signal | None) -> None:
-        """Keeps the share of errors among answers."""
-        if sign not in (Signal.WELL, Signal.ERROR):
+    def _record_error(self, signal: Signal | None) -> None:
+        """Updates the error rate of the target."""
+        if signal not in (Signal.WELL, Signal.ERROR):
             return
-        share = self._errors + ERRORS_GAIN * (
-            (sign is Signal.ERROR) - self._errors
+        error_rate = self._error_rate + ERROR_RATE_GAIN * (
+            (signal is Signal.ERROR) - self._error_rate
         )
-        self._errors = min(ERRORS_MOST, max(ERRORS_LEAST, share))
+        self._error_rate = min(MAX_ERROR_RATE, max(MIN_ERROR_RATE, error_rate))
 
-    def _learn_shape(self, run: _Run, age: float) -> None:
-        """Whether failures show at once here, or only by taking long."""
-        late = run.usual.survival(age) < SCOUT_LATE
-        if run.signal is None and not late:
-            # Cut off young: it says nothing of how it would have ended.
+    def _record_failure_speed(self, record: _Request, age: float) -> None:
+        """Updates the share of failures that are slow."""
+        was_overdue = record.distribution.survival(age) < LATE_SURVIVAL
+        if record.signal is None and not was_overdue:
+            # Cancelled early, so it says nothing about the target.
             return
         slow = float(age > FAST_FAILURE_SECONDS)
-        self._slow_share += SLOW_GAIN * (slow - self._slow_share)
+        self._slow_failure_share += SLOW_FAILURE_GAIN * (
+            slow - self._slow_failure_share
+        )
 
-    def _change(self, change: EjectionChange) -> None:
+    def _record_change(self, change: EjectionChange) -> None:
         self.changes.append(change)
         del self.changes[:-MAX_CHANGES]
--- a/forklift/invariants.py
+++ b/forklift/invariants.py
@@ -1,8 +1,8 @@
-"""Asserts the promises of the project while the program runs.
+"""Checks the invariants of the project at run time.
 
-A broken promise is logged and counted; with `FATAL` set (tests set it) it
-raises. Each check is a plain function named after its promise, so that the
-log line, the counter and the docs use one name.
+A violation is logged and counted; with `RAISE_ON_VIOLATION`, which tests set,
+it raises. Each check is a function named after its invariant, as in the log
+line, the counter and the documentation.
 """
 
 import collections
@@ -17,33 +17,34 @@
 _log = structlog.get_logger(__name__)
 
 
-def check(promise: str, holds: bool, detail: str, **evidence: object) -> bool:
-    """Records one check of a promise.
+def check(invariant: str, holds: bool, detail: str, **evidence: object) -> bool:
+    """Records one check of an invariant.
 
     Args:
-        promise: Name of the promise.
-        holds: Whether it was seen to hold.
-        detail: What was seen, for the log line.
+        invariant: Name of the invariant.
+        holds: Whether the invariant holds.
+        detail: Description of a violation, for the log line.
         **evidence: Further fields of the log line.
 
     Returns:
-        `holds`, so that a caller can refuse to go on.
+        `holds`, so that the code that checks can stop.
 
     Raises:
-        errors.InvariantViolation: When it does not hold and `FATAL` is set.
+        errors.InvariantViolation: If it does not hold and
+            `RAISE_ON_VIOLATION` is set.
     """
-    checks_by_invariant[promise] += 1
+    checks_by_invariant[invariant] += 1
     if holds:
         return True
-    violations_by_invariant[promise] += 1
-    _log.error("invariant_broken", promise=promise, detail=detail, **evidence)
+    violations_by_invariant[invariant] += 1
+    _log.error("invariant_broken", promise=invariant, detail=detail, **evidence)
     if RAISE_ON_VIOLATION:
-        raise errors.InvariantViolation(promise, detail)
+        raise errors.InvariantViolation(invariant, detail)
     return False
 
 
 def own_answer(request_id: str, echoed: str) -> bool:
-    """An answer belongs to the request it is passed on for."""
+    """A response is passed on only for the request it belongs to."""
     detail = f"answer to {echoed} on the stream of {request_id}"
     return check("own-answer", request_id == echoed, detail)
 
@@ -59,13 +60,13 @@
 
 
 def at_most_once(starts: int, request_id: str) -> bool:
-    """A request that is not repeatable is started at most once."""
+    """A request that is not idempotent is started at most once."""
     detail = f"{starts} starts"
     return check("at-most-once", starts <= 1, detail, request_id=request_id)
 
 
 def no_new_work(leaving: bool, target: str) -> bool:
-    """A target that is leaving starts no new request at its guard."""
+    """A target that is leaving starts no new request."""
     return check(
         "no-new-work",
         not leaving,
@@ -75,7 +76,7 @@
 
 
 def nothing_cut_off(in_flight: int, deadline_passed: bool) -> bool:
-    """A planned stop ends with nothing in flight, or at its deadline."""
+    """A planned shutdown ends without requests in flight or at its deadline."""
     return check(
         "nothing-cut-off",
         in_flight == 0 or deadline_passed,
@@ -84,6 +85,6 @@
 
 
 def version_forward(before: int, after: int) -> bool:
-    """The configuration in force never goes back."""
+    """The version of the active configuration never decreases."""
     detail = f"version {before} replaced by {after}"
     return check("version-forward", after >= before, detail)
--- a/forklift/latency.py
+++ b/forklift/latency.py
@@ -1,133 +1,139 @@
-"""What is usual: how long each kind of work takes at a target.
+"""Estimates the latency distribution of each route from responses.
 
-One service serves kinds of work that differ by a factor of hundreds, so each
-route is learned for itself: a usual latency over all of them made ordinary
-requests look overdue, or hung ones usual.
+Routes of one service may differ in latency by a factor of hundreds, so each
+has its own estimate.
 """
 
 import collections
 import math
 
-# Part of a route's latency objective that is its usual latency until answers
-# tell better: operators set objectives to a few times what is usual.
-AIM_PART = 1 / 3
-# Spread, in logarithms, until answers tell better: a factor of 2.7 either way.
-FIRST_SPREAD = 1.0
-# Answers that the guess before the first one weighs as much as.
-FIRST_WEIGHT = 2.0
-# Answers after which the guess no longer decides.
-ENOUGH = 3.0
-# Answers that are remembered: older ones fade, so that a target that slows
-# down is known within a few dozen answers.
-MEMORY = 40.0
-# No work scatters less than this in a system of many processes.
-LEAST_SPREAD = 0.25
-# One request in a hundred takes several times as long with nothing wrong.
+# Initial median, as a share of the latency objective of the route. Operators
+# usually set objectives to a few times the median.
+INITIAL_OBJECTIVE_SHARE = 1 / 3
+# Initial standard deviation of the logarithm of the latency.
+INITIAL_SPREAD = 1.0
+# Weight of the initial estimate, in responses.
+INITIAL_WEIGHT = 2.0
+# Responses after which the median is used to refuse requests.
+MIN_LEARNED_WEIGHT = 3.0
+# Upper bound on the weight, in responses. It makes older responses decay, so
+# that a change in latency shows within a few dozen responses.
+MAX_WEIGHT = 40.0
+# Lower bound on the standard deviation of the logarithm.
+MIN_SPREAD = 0.25
+# Share of successful requests in the long tail, and how many times slower
+# they are.
 TAIL_SHARE = 0.01
 TAIL_FACTOR = 4.0
-# Shorter answers than this are not told apart, seconds.
-LEAST = 0.001
-# Objectives above this say nothing of what is usual, seconds.
+# Shorter latencies are rounded up to this.
+MIN_SECONDS = 0.001
+# Objectives above this are capped for the initial median.
 MAX_OBJECTIVE_SECONDS = 10.0
-# Routes that are remembered at a time; the least lately used one goes first.
+# Routes kept; the least recently used one is evicted first.
 MAX_ROUTES = 256
 
 
 class Distribution:
-    """The latency of one kind of work: log-normal, learned from answers.
+    """Log-normal latency distribution of one route, learned online.
 
-    >>> usual = Distribution(0.2)
-    >>> usual.survival(0.0), round(usual.survival(0.2), 2)
+    >>> distribution = Distribution(0.2)
+    >>> distribution.survival(0.0), round(distribution.survival(0.2), 2)
     (1.0, 0.5)
     """
 
-    def __init__(self, guess: float, spread: float = FIRST_SPREAD):
-        self._mean = math.log(max(LEAST, guess))
+    def __init__(self, initial_median: float, spread: float = INITIAL_SPREAD):
+        self._mean = math.log(max(MIN_SECONDS, initial_median))
         self._variance = spread * spread
-        self._weight = FIRST_WEIGHT
+        self._weight = INITIAL_WEIGHT
 
     @property
     def median(self) -> float:
-        """Half of the answers take no longer, seconds."""
+        """Median latency, seconds."""
         return math.exp(self._mean)
 
     @property
     def learned_median(self) -> float:
-        """The median once a few answers came; until then nothing, seconds.
+        """Median latency after a few responses; 0 before, seconds.
 
-        By the guess alone nothing is refused: requests of a route that was just
-        added would be turned away while all others are served.
+        The initial estimate alone must not cause requests of a new route to
+        be refused.
         """
-        learned = self._weight >= FIRST_WEIGHT + ENOUGH
+        learned = self._weight >= INITIAL_WEIGHT + MIN_LEARNED_WEIGHT
         return self.median if learned else 0.0
 
     @property
     def mean(self) -> float:
-        """How long an answer takes on average, seconds."""
+        """Mean latency, seconds."""
         return math.exp(self._mean + self._variance / 2)
 
     @property
     def spread(self) -> float:
         """Standard deviation of the logarithm."""
-        return max(LEAST_SPREAD, math.sqrt(self._variance))
+        return max(MIN_SPREAD, math.sqrt(self._variance))
 
     def record(self, seconds: float) -> None:
-        """An answer took this long."""
-        self._learn(math.log(max(LEAST, seconds)), 0.0, 1.0)
+        """Records the latency of a response."""
+        self._update(math.log(max(MIN_SECONDS, seconds)), 0.0, 1.0)
 
     def record_censored(self, seconds: float, weight: float) -> None:
-        """A request was cut off at this age, before its answer.
+        """Records a request that was cancelled before its response.
 
-        Left out, slow answers would be missing just because they are slow,
-        and ever faster ones would look late.
+        Ignoring cancelled requests would bias the estimate towards fast
+        responses.
 
         Args:
-            seconds: Its age.
-            weight: How likely it is that its answer would have come, 0 to 1.
+            seconds: Age of the request when it was cancelled.
+            weight: Probability that a response would have come, 0 to 1.
         """
         spread = self.spread
-        z = (math.log(max(LEAST, seconds)) - self._mean) / spread
-        beyond = _beyond(z)
-        if weight <= 0 or beyond < 1e-6:
+        z = (math.log(max(MIN_SECONDS, seconds)) - self._mean) / spread
+        upper_tail = _upper_tail(z)
+        if weight <= 0 or upper_tail < 1e-6:
             return
-        # Mean and variance of what is left of a normal distribution above z.
-        rate = math.exp(-z * z / 2) / math.sqrt(2 * math.pi) / beyond
-        residual = max(0.0, 1 + z * rate - rate * rate)
-        expected = self._mean + spread * rate
-        self._learn(expected, residual * spread * spread, weight)
+        # Mean and variance of the normal distribution truncated below z.
+        hazard = math.exp(-z * z / 2) / math.sqrt(2 * math.pi) / upper_tail
+        residual = max(0.0, 1 + z * hazard - hazard * hazard)
+        expected = self._mean + spread * hazard
+        self._update(expected, residual * spread * spread, weight)
 
     def survival(self, age: float) -> float:
-        """Share of sound requests that still run at an age in seconds."""
-        if age <= LEAST:
+        """Share of successful requests that run longer than `age` seconds."""
+        if age <= MIN_SECONDS:
             return 1.0
         body = self._survival(age)
         tail = self._survival(age / TAIL_FACTOR)
         return (1 - TAIL_SHARE) * body + TAIL_SHARE * tail
 
     def quantile(self, deviations: float) -> float:
-        """The latency that lies this many standard deviations up, seconds."""
+        """Latency this many standard deviations above the median, seconds."""
         return math.exp(self._mean + deviations * self.spread)
 
     def blend(self, median: float, spread: float, gain: float) -> None:
-        """Moves towards what somebody else has learned."""
-        self._weight = min(MEMORY, self._weight + 1)
-        self._mean += gain * (math.log(max(LEAST, median)) - self._mean)
+        """Moves the estimate towards that of another process.
+
+        Args:
+            median: Median latency there, seconds.
+            spread: Standard deviation of the logarithm there.
+            gain: Weight of the other estimate, 0 to 1.
+        """
+        self._weight = min(MAX_WEIGHT, self._weight + 1)
+        self._mean += gain * (math.log(max(MIN_SECONDS, median)) - self._mean)
         self._variance += gain * (spread * spread - self._variance)
 
     def _survival(self, age: float) -> float:
-        return _beyond((math.log(age) - self._mean) / self.spread)
+        return _upper_tail((math.log(age) - self._mean) / self.spread)
 
-    def _learn(self, value: float, variance: float, weight: float) -> None:
-        self._weight = min(MEMORY, self._weight + weight)
+    def _update(self, value: float, variance: float, weight: float) -> None:
+        self._weight = min(MAX_WEIGHT, self._weight + weight)
         gain = weight / self._weight
-        off = value - self._mean
-        self._mean += gain * off
-        around = off * off * (1 - gain) + variance
-        self._variance += gain * (around - self._variance)
+        deviation = value - self._mean
+        self._mean += gain * deviation
+        squared_deviation = deviation * deviation * (1 - gain) + variance
+        self._variance += gain * (squared_deviation - self._variance)
 
 
 class RouteLatencies:
-    """The latencies of many routes, of which the last used are kept."""
+    """Latency distributions by route; the least recently used are evicted."""
 
     def __init__(self):
         self._latency_by_route: collections.OrderedDict[str, Distribution] = (
@@ -135,32 +141,34 @@
         )
 
     def get(self, route: str) -> Distribution | None:
-        """The latency of a route, once that was asked for."""
+        """The distribution of a route; None if the route is not known."""
         return self._latency_by_route.get(route)
 
     def medians_by_route(self) -> dict[str, float]:
-        """Median latencies by route, seconds."""
-        latencies = self._latency_by_route.items()
-        return {route: round(usual.median, 4) for route, usual in latencies}
+        """Median latency of each route, seconds."""
+        distributions = self._latency_by_route.items()
+        return {route: round(usual.median, 4) for route, usual in distributions}
 
     def for_route(self, route: str, objective: float) -> Distribution:
-        """The latency of a route.
+        """The distribution of a route, created if it is missing.
 
         Args:
-            route: Its name.
-            objective: Its latency objective in seconds, for the first guess.
+            route: Name of the route.
+            objective: Latency objective of the route in seconds, for the
+                initial median.
         """
-        found = self._latency_by_route.pop(route, None)
-        if found is None:
-            found = Distribution(
-                AIM_PART * max(LEAST, min(objective, MAX_OBJECTIVE_SECONDS))
+        distribution = self._latency_by_route.pop(route, None)
+        if distribution is None:
+            distribution = Distribution(
+                INITIAL_OBJECTIVE_SHARE
+                * max(MIN_SECONDS, min(objective, MAX_OBJECTIVE_SECONDS))
             )
-        self._latency_by_route[route] = found
+        self._latency_by_route[route] = distribution
         if len(self._latency_by_route) > MAX_ROUTES:
             self._latency_by_route.popitem(last=False)
-        return found
+        return distribution
 
 
-def _beyond(z: float) -> float:
-    """Share of a normal distribution above `z` standard deviations."""
+def _upper_tail(z: float) -> float:
+    """Upper tail probability of the standard normal distribution at `z`."""
     return 0.5 * math.erfc(z / math.sqrt(2))
--- a/forklift/rates.py
+++ b/forklift/rates.py
@@ -1,18 +1,17 @@
-"""How often something happened of late: what is longer ago counts less."""
+"""Event counters and failure rates with exponential decay."""
 
 import math
 
-# Seconds over which a share is taken: twice those over which the floor on
-# capacity is counted, as few requests come within these.
-SHARE_WINDOW = 4.0
-# Weight of one word of another process, and what all of them together count for
-# against own requests.
-TOLD_GAIN = 0.2
-TOLD_COUNT = 10.0
+# Decay time of failure rates.
+FAILURE_RATE_DECAY_SECONDS = 4.0
+# Least weight of one remote report in the remote rate, and the weight of the
+# remote rate, in requests.
+MIN_REMOTE_GAIN = 0.2
+REMOTE_WEIGHT = 10.0
 
 
 class DecayingCounter:
-    """Counts what happens, and forgets it within some seconds.
+    """Counts events with exponential decay.
 
     >>> rate = DecayingCounter(2.0)
     >>> for tenth in range(100):
@@ -22,62 +21,67 @@
     """
 
     def __init__(self, seconds: float):
-        """Makes a rate of what has never happened.
+        """Creates a counter without events.
 
         Args:
-            seconds: After these an event counts for a third.
+            seconds: Decay time; an event of this age counts 1/e.
         """
-        self._seconds = seconds
+        self._decay_seconds = seconds
         self._count = 0.0
-        self._at = -math.inf
+        self._last_at = -math.inf
 
     def record(self, now: float) -> None:
-        """It happened."""
+        """Records an event."""
         self._count = self.count(now) + 1.0
-        self._at = now
+        self._last_at = now
 
     def count(self, now: float) -> float:
-        """How often it happened within about those seconds."""
+        """Decayed number of events."""
         if not self._count:
             return 0.0
-        return self._count * math.exp(-(now - self._at) / self._seconds)
+        return self._count * math.exp(
+            -(now - self._last_at) / self._decay_seconds
+        )
 
     def mean_interval(self, now: float) -> float:
-        """Seconds between two of them, in the mean; infinite without any."""
+        """Mean seconds between events; infinite without events."""
         recent = self.count(now)
-        return self._seconds / recent if recent else math.inf
+        return self._decay_seconds / recent if recent else math.inf
 
 
 class FailureRate:
-    """Which share of the requests of a service fail, by a few of many eyes.
+    """Failure rate of a service, from local requests and remote reports.
 
-    An entry of a large fleet sees one request a second, and a single failure
-    says little. So others' shares count as well: each answer tells that of the
-    process it came from.
+    A single process of a large fleet sees too few requests for a reliable
+    rate, so the rates that other processes report count as well.
     """
 
     def __init__(self):
-        self.requests = DecayingCounter(SHARE_WINDOW)
-        self.failures = DecayingCounter(SHARE_WINDOW)
-        self._told = 0.0
-        self._told_at = -math.inf
-
-    def record_remote(self, share: float, now: float) -> None:
-        """Another process told the share that it sees."""
-        weight = math.exp(-(now - self._told_at) / SHARE_WINDOW)
-        gain = max(TOLD_GAIN, 1 - weight)
-        self._told += gain * (share - self._told)
-        self._told_at = now
+        self.requests = DecayingCounter(FAILURE_RATE_DECAY_SECONDS)
+        self.failures = DecayingCounter(FAILURE_RATE_DECAY_SECONDS)
+        self._remote_rate = 0.0
+        self._remote_at = -math.inf
+
+    def record_remote(self, rate: float, now: float) -> None:
+        """Records the failure rate that another process reports, 0 to 1."""
+        weight = math.exp(-(now - self._remote_at) / FAILURE_RATE_DECAY_SECONDS)
+        gain = max(MIN_REMOTE_GAIN, 1 - weight)
+        self._remote_rate += gain * (rate - self._remote_rate)
+        self._remote_at = now
 
     def local(self, now: float) -> float:
-        """The share that this process sees itself, 0 to 1."""
+        """Failure rate of the requests of this process, 0 to 1."""
         requests = self.requests.count(now)
         failures = self.failures.count(now)
         return min(1.0, failures / max(1.0, requests))
 
     def combined(self, now: float) -> float:
-        """The share by all that is known, 0 to 1."""
-        age = now - self._told_at
-        told = TOLD_COUNT * math.exp(-age / SHARE_WINDOW)
-        failures = self.failures.count(now) + told * self._told
-        return min(1.0, failures / max(1.0, self.requests.count(now) + told))
+        """Failure rate from local requests and remote reports, 0 to 1."""
+        age = now - self._remote_at
+        remote_weight = REMOTE_WEIGHT * math.exp(
+            -age / FAILURE_RATE_DECAY_SECONDS
+        )
+        failures = self.failures.count(now) + remote_weight * self._remote_rate
+        return min(
+            1.0, failures / max(1.0, self.requests.count(now) + remote_weight)
+        )
--- a/forklift/response_sizes.py
+++ b/forklift/response_sizes.py
@@ -1,15 +1,15 @@
-"""How large the answers of each route are, learned from answers."""
+"""Mean response size of each route."""
 
 import collections
 
-# Weight of the last answer in the size of its route.
-GAIN = 0.1
-# Routes that are remembered; the least lately used one goes first.
+# Weight of the last response in the moving average.
+SIZE_GAIN = 0.1
+# Routes kept; the one least recently updated is evicted first.
 MAX_ROUTES = 256
 
 
 class ResponseSizes:
-    """Mean sizes of answers, by route.
+    """Moving averages of response sizes, by route.
 
     >>> sizes = ResponseSizes()
     >>> sizes.mean_bytes("r")
@@ -20,17 +20,17 @@
     """
 
     def __init__(self):
-        self._size_by_route: collections.OrderedDict[str, float] = (
+        self._mean_by_route: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     def mean_bytes(self, route: str) -> float:
-        """Mean size of the answers of a route, bytes; 0 while unknown."""
-        return self._size_by_route.get(route, 0.0)
+        """Mean response size of a route in bytes; 0 if unknown."""
+        return self._mean_by_route.get(route, 0.0)
 
     def record(self, route: str, size: int) -> None:
-        """An answer had this size, in bytes."""
-        known = self._size_by_route.pop(route, float(size))
-        self._size_by_route[route] = known + GAIN * (size - known)
-        if len(self._size_by_route) > MAX_ROUTES:
-            self._size_by_route.popitem(last=False)
+        """Records the size of a response in bytes."""
+        mean = self._mean_by_route.pop(route, float(size))
+        self._mean_by_route[route] = mean + SIZE_GAIN * (size - mean)
+        if len(self._mean_by_route) > MAX_ROUTES:
+            self._mean_by_route.popitem(last=False)
--- a/forklift/retry_budget.py
+++ b/forklift/retry_budget.py
@@ -1,20 +1,20 @@
-"""The budget of repeats: how many arrivals beyond the first are allowed.
+"""Retry budget: limits retries and hedges to a share of the requests.
 
-All processes together keep one bound for each service: in any window, repeats
-may be at most a ratio of the requests plus a reserve. Each process keeps its
-own part of it by what it sees itself, so the sum is right without asking
-anybody, also while some processes are cut off.
+In any window, the retries of a service may not exceed a ratio of its requests
+plus a reserve, over all processes. Each process applies the ratio to its own
+requests and divides the reserve by the number of processes, so the limit holds
+without coordination, also during a network partition.
 """
 
 import collections
 
-# Part of the allowance that is used; the rest covers what is on its way when
+# Share of the budget that may be spent. The rest covers retries in flight when
 # the window moves.
 USABLE_SHARE = 0.9
 
 
 class SlidingWindow:
-    """Counts events of the last seconds.
+    """Counts events within a sliding window.
 
     >>> window = SlidingWindow(10.0)
     >>> window.add(0.0)
@@ -27,18 +27,18 @@
         self._times: collections.deque[float] = collections.deque()
 
     def add(self, now: float) -> None:
-        """An event happened."""
+        """Records an event."""
         self._times.append(now)
 
     def count(self, now: float) -> int:
-        """Events within the window."""
+        """Number of events within the window."""
         while self._times and self._times[0] <= now - self.seconds:
             self._times.popleft()
         return len(self._times)
 
 
 class RetryBudget:
-    """The part of one process in the budget of one service.
+    """Share of one process in the retry budget of one service.
 
     >>> budget = RetryBudget(ratio=0.5, window=10.0, reserve=2.0)
     >>> budget.spend(0.0, 1), budget.spend(0.0, 1)
@@ -49,62 +49,71 @@
         self._ratio = ratio
         self._reserve = reserve
         self._requests = SlidingWindow(window)
-        self._repeats = SlidingWindow(window)
-        self._charged = 0.0
+        self._retries = SlidingWindow(window)
+        self._charged_calls = 0.0
         self._charges: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
-        self._window = window
-        self._most_processes = 0
+        self._window_seconds = window
+        self._max_processes = 0
         self.refused = 0
 
     def set_limits(self, ratio: float, window: float, reserve: float) -> None:
-        """Takes other bounds; what was counted stays."""
+        """Changes the limits and keeps the counted events.
+
+        Args:
+            ratio: Retries allowed for each request.
+            window: Length of the window, seconds.
+            reserve: Retries allowed in a window without requests, over all
+                processes.
+        """
         self._ratio = ratio
         self._reserve = reserve
         self._requests.seconds = window
-        self._repeats.seconds = window
-        self._window = window
+        self._retries.seconds = window
+        self._window_seconds = window
 
     def record_request(self, now: float) -> None:
-        """A request of the service was taken from a caller."""
+        """Counts a caller's request to the service."""
         self._requests.add(now)
 
     def spend(self, now: float, processes: int, share: float = 1.0) -> bool:
-        """Takes one repeat, if this process still has one.
+        """Spends one retry; False if the budget is exhausted.
 
         Args:
             now: Monotonic seconds.
-            processes: Processes known, this one too; 0 before any were met:
-                many may have started with this one, so none of the reserve
-                is its own yet. Fewer than before may mean a cut, so the most
-                ever known divides the reserve.
-            share: Part of the allowance that this repeat may be the last of.
+            processes: Known processes, including this one; 0 before any peer
+                is known, which allows none of the reserve. The reserve is
+                divided by the highest number so far, as fewer may mean a
+                network partition.
+            share: Share of the budget that this kind of retry may use up.
         """
-        self._most_processes = max(self._most_processes, processes)
+        self._max_processes = max(self._max_processes, processes)
         reserve = 0.0
-        if self._most_processes:
-            reserve = self._reserve / self._most_processes
+        if self._max_processes:
+            reserve = self._reserve / self._max_processes
         allowed = self._ratio * self._requests.count(now) + reserve
-        used = self._repeats.count(now) + self._called(now)
+        used = self._retries.count(now) + self._count_charged_calls(now)
         if used + 1 > USABLE_SHARE * share * allowed:
             self.refused += 1
             return False
-        self._repeats.add(now)
+        self._retries.add(now)
         return True
 
     def charge_calls(self, now: float, calls: float) -> None:
-        """A repeat of another service may make calls to this one.
+        """Charges the calls that a retry of another service may cause.
 
         Args:
             now: Monotonic seconds.
-            calls: Calls that it makes, on average.
+            calls: Mean number of calls to this service.
         """
         self._charges.append((now, calls))
-        self._charged += calls
-
-    def _called(self, now: float) -> float:
-        """Calls within the window that repeats of other services may make."""
-        while self._charges and self._charges[0][0] <= now - self._window:
-            self._charged -= self._charges.popleft()[1]
-        return self._charged
+        self._charged_calls += calls
+
+    def _count_charged_calls(self, now: float) -> float:
+        """Calls charged within the window for retries of other services."""
+        while (
+            self._charges and self._charges[0][0] <= now - self._window_seconds
+        ):
+            self._charged_calls -= self._charges.popleft()[1]
+        return self._charged_calls
