--- a/forklift/admission.py
+++ b/forklift/admission.py
@@ -65,8 +65,8 @@
         soft_deadline: Monotonic seconds at which the latency objective of the
             route is missed.
         route: Name of the route, for the expected latency.
-        wait: Whether the request queues until `start_by`. Otherwise it is
-            refused when the expected wait is long, so that the sender can
+        wait: Whether the request queues for as long as it can. Otherwise it
+            is refused when the expected wait is long, so that the sender can
             try another target.
         start_by: Monotonic seconds after which the request is refused if it
             has not started.
--- a/forklift/counters.py
+++ b/forklift/counters.py
@@ -42,7 +42,7 @@
         self._counts[bisect.bisect_left(BUCKET_BOUNDS, seconds)] += 1
 
     def cumulative(self) -> list[tuple[str, int]]:
-        """Cumulative counts by upper bound, as Prometheus expects them."""
+        """Cumulative counts by upper bound, the last one for all durations."""
         total = 0
         buckets = []
         for bound, count in zip(
--- a/test/test_fences.py
+++ b/test/test_fences.py
@@ -1,4 +1,4 @@
-"""What is certain of starts."""
+"""Started and fenced requests."""
 
 import pytest
 
@@ -8,21 +8,21 @@
 ONE = (1, 7)
 
 
-def test_what_started_never_starts_again():
+def test_started_request_cannot_start_again():
     known = fences.Fences()
     assert known.try_start(ONE, 0.0)
     assert not known.may_start(ONE)
     assert not known.try_start(ONE, 1.0)
 
 
-def test_what_is_fenced_never_starts():
+def test_fenced_request_cannot_start():
     known = fences.Fences()
     assert known.fence(ONE, 0.0)
     assert not known.try_start(ONE, 1.0)
     assert known.fence(ONE, 2.0)
 
 
-def test_what_started_is_never_told_not_run():
+def test_started_request_is_not_reported_as_not_run():
     known = fences.Fences()
     known.try_start(ONE, 0.0)
     assert not known.fence(ONE, 1.0)
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("first", ["try_start", "fence"])
-def test_marks_outlive_any_deadline_and_are_then_forgotten(first):
+def test_entries_expire_after_the_retention_time(first):
     known = fences.Fences()
     getattr(known, first)(ONE, 0.0)
     known.try_start((1, 8), fences.RETENTION_SECONDS - 1)
--- a/test/test_health.py
+++ b/test/test_health.py
@@ -1,4 +1,4 @@
-"""The judgement on one target."""
+"""Passive health checks of one target."""
 
 import itertools
 import random
@@ -12,249 +12,261 @@
 FAILURES = [s for s in Signal if s not in (Signal.WELL, Signal.SHED)]
 
 
-def usual(median: float = 0.1, spread: float = 0.5) -> latency.Distribution:
+def distribution(
+    median: float = 0.1, spread: float = 0.5
+) -> latency.Distribution:
     return latency.Distribution(median, spread)
 
 
-def proven(now: float = 0.0) -> health.Health:
-    """A target that did well a few times until now."""
-    judged = health.Health()
+def proven_health(now: float = 0.0) -> health.Health:
+    """The health of a target with a few successful requests."""
+    target_health = health.Health()
     for number in range(4):
-        judged.begin(("first", number), usual(), now)
-        judged.end(("first", number), Signal.WELL, now)
-    return judged
+        target_health.begin(("first", number), distribution(), now)
+        target_health.end(("first", number), Signal.WELL, now)
+    return target_health
 
 
-def outcome(judged: health.Health, sign: Signal, now: float) -> bool:
-    """One request that begins and ends at once."""
-    judged.begin(("r", now), usual(), now)
-    return judged.end(("r", now), sign, now)
+def record_outcome(
+    target_health: health.Health, signal: Signal, now: float
+) -> bool:
+    """Records a request that begins and ends at once."""
+    target_health.begin(("r", now), distribution(), now)
+    return target_health.end(("r", now), signal, now)
 
 
-@pytest.mark.parametrize("sign", [Signal.BROKEN, Signal.UNREACHABLE])
-def test_one_broken_connection_raises_doubt(sign):
-    judged = proven()
-    assert outcome(judged, sign, 0.5)
-    assert judged.ejected
-    assert judged.signal is sign
+@pytest.mark.parametrize("signal", [Signal.BROKEN, Signal.UNREACHABLE])
+def test_one_broken_connection_ejects_the_target(signal):
+    target_health = proven_health()
+    assert record_outcome(target_health, signal, 0.5)
+    assert target_health.ejected
+    assert target_health.signal is signal
 
 
-def test_an_error_among_good_answers_raises_none_and_two_do():
-    judged = proven(1.0)
-    outcome(judged, Signal.ERROR, 1.1)
-    assert not judged.ejected
-    outcome(judged, Signal.ERROR, 1.2)
-    assert judged.ejected
+def test_two_errors_eject_the_target_and_one_does_not():
+    target_health = proven_health(1.0)
+    record_outcome(target_health, Signal.ERROR, 1.1)
+    assert not target_health.ejected
+    record_outcome(target_health, Signal.ERROR, 1.2)
+    assert target_health.ejected
 
 
-def test_errors_that_are_usual_here_raise_no_doubt():
-    """A target whose calls to others fail answers errors and is well."""
-    judged = proven()
+def test_usual_error_rate_does_not_eject_the_target():
+    """Calls to other services may fail at a healthy target."""
+    target_health = proven_health()
     rng = random.Random(2)
-    doubted = 0
+    ejections = 0
     for number in range(400):
-        sign = Signal.ERROR if rng.random() < 0.2 else Signal.WELL
-        outcome(judged, sign, 0.1 * number)
-        doubted += judged.ejected and number >= 100
-    assert doubted < 15
+        signal = Signal.ERROR if rng.random() < 0.2 else Signal.WELL
+        record_outcome(target_health, signal, 0.1 * number)
+        ejections += target_health.ejected and number >= 100
+    assert ejections < 15
     for number in range(6):
-        outcome(judged, Signal.ERROR, 40.0 + 0.1 * number)
-    assert judged.ejected
+        record_outcome(target_health, Signal.ERROR, 40.0 + 0.1 * number)
+    assert target_health.ejected
 
 
-def test_what_the_target_refuses_is_no_failure():
-    judged = proven()
-    outcome(judged, Signal.SHED, 0.5)
-    assert not judged.ejected
-    assert judged.shedding(0.5)
-    assert not judged.shedding(0.5 + health.SHEDDING_SECONDS)
-    outcome(judged, Signal.SHED, 3.0)
-    outcome(judged, Signal.WELL, 3.1)
-    assert not judged.shedding(3.1)
+def test_request_shed_by_the_target_is_no_failure():
+    target_health = proven_health()
+    record_outcome(target_health, Signal.SHED, 0.5)
+    assert not target_health.ejected
+    assert target_health.shedding(0.5)
+    assert not target_health.shedding(0.5 + health.SHEDDING_SECONDS)
+    record_outcome(target_health, Signal.SHED, 3.0)
+    record_outcome(target_health, Signal.WELL, 3.1)
+    assert not target_health.shedding(3.1)
 
 
-def test_one_good_answer_lifts_no_doubt_as_one_in_four_does_well_in_a_phase():
-    judged = proven()
+def test_reinstatement_takes_more_than_one_success():
+    target_health = proven_health()
     for now in (0.5, 0.6, 0.7):
-        outcome(judged, Signal.BROKEN, now)
-    outcome(judged, Signal.WELL, 0.8)
-    assert judged.ejected
+        record_outcome(target_health, Signal.BROKEN, now)
+    record_outcome(target_health, Signal.WELL, 0.8)
+    assert target_health.ejected
     for now in (0.9, 1.0, 1.1):
-        outcome(judged, Signal.WELL, now)
-    assert not judged.ejected
+        record_outcome(target_health, Signal.WELL, now)
+    assert not target_health.ejected
 
 
-def test_a_target_that_hangs_is_doubted_before_any_request_ends():
-    """Nothing comes back: neither an answer nor a broken connection."""
-    judged = proven()
+def test_hanging_target_is_ejected_before_any_request_ends():
+    """A hanging target neither responds nor closes the connection."""
+    target_health = proven_health()
     for number in range(3):
-        judged.begin(number, usual(), 0.5 + 0.05 * number)
-    assert not judged.evaluate(0.6)
-    # Two and a half times the usual latency of the work that it was given.
-    assert judged.evaluate(0.85)
-    assert judged.signal is Signal.OVERDUE
+        target_health.begin(number, distribution(), 0.5 + 0.05 * number)
+    assert not target_health.evaluate(0.6)
+    # 2.5 times the median latency of the requests.
+    assert target_health.evaluate(0.85)
+    assert target_health.signal is Signal.OVERDUE
 
 
-def test_a_doubt_is_named_after_a_failure_not_after_what_ended_well():
-    judged = proven()
-    judged.begin("old", usual(0.8), 0.1)
+def test_signal_of_an_ejection_is_a_failure():
+    target_health = proven_health()
+    target_health.begin("old", distribution(0.8), 0.1)
     for number in range(3):
-        judged.begin(number, usual(), 0.6)
-    assert judged.end("old", Signal.WELL, 1.2)
-    assert judged.signal is Signal.OVERDUE
+        target_health.begin(number, distribution(), 0.6)
+    assert target_health.end("old", Signal.WELL, 1.2)
+    assert target_health.signal is Signal.OVERDUE
 
 
-def test_many_in_flight_tell_sooner_than_one():
-    def doubted_after(count: int) -> float:
-        judged = proven()
+def test_more_requests_in_flight_reveal_a_hanging_target_sooner():
+    def time_to_ejection(count: int) -> float:
+        target_health = proven_health()
         for number in range(count):
-            judged.begin(number, usual(), 0.5)
+            target_health.begin(number, distribution(), 0.5)
         ages = (0.01 * step for step in itertools.count(1))
-        return next(age for age in ages if judged.evaluate(0.5 + age))
+        return next(age for age in ages if target_health.evaluate(0.5 + age))
 
-    assert doubted_after(4) < doubted_after(2) < doubted_after(1)
+    assert time_to_ejection(4) < time_to_ejection(2) < time_to_ejection(1)
 
 
-def test_work_that_takes_long_by_nature_raises_no_doubt():
-    judged = proven()
-    judged.begin("long", usual(2.0), 0.0)
-    assert not judged.evaluate(1.5)
-    assert judged.unhealthy_probability(1.5) < health.EJECTION_THRESHOLD
+def test_slow_route_does_not_eject_the_target():
+    target_health = proven_health()
+    target_health.begin("long", distribution(2.0), 0.0)
+    assert not target_health.evaluate(1.5)
+    assert target_health.unhealthy_probability(1.5) < health.EJECTION_THRESHOLD
 
 
-def test_where_failures_show_at_once_a_request_under_way_is_a_proof():
-    """Targets that reset connections: 20 ms without a reset say enough."""
-    judged = health.Health()
+def test_request_in_flight_is_evidence_if_failures_are_fast():
+    """A target that resets connections does so within 20 ms."""
+    target_health = health.Health()
     for number in range(12):
-        outcome(judged, Signal.BROKEN, 0.01 * number)
+        record_outcome(target_health, Signal.BROKEN, 0.01 * number)
     later = 100.0
-    before = judged.unhealthy_probability(later)
-    judged.begin("r", usual(), later)
+    before = target_health.unhealthy_probability(later)
+    target_health.begin("r", distribution(), later)
     assert (
-        judged.unhealthy_probability(later + 2 * health.FAST_FAILURE_SECONDS)
+        target_health.unhealthy_probability(
+            later + 2 * health.FAST_FAILURE_SECONDS
+        )
         < before / 2
     )
 
 
-def test_where_targets_hang_a_request_under_way_is_none():
-    judged = health.Health()
+def test_request_in_flight_is_no_evidence_if_failures_are_slow():
+    target_health = health.Health()
     for number in range(12):
-        judged.begin(number, usual(), 0.0)
-        judged.end(number, None, 1.5)
+        target_health.begin(number, distribution(), 0.0)
+        target_health.end(number, None, 1.5)
     later = 100.0
-    before = judged.unhealthy_probability(later)
-    judged.begin("r", usual(), later)
+    before = target_health.unhealthy_probability(later)
+    target_health.begin("r", distribution(), later)
     assert (
-        judged.unhealthy_probability(later + 2 * health.FAST_FAILURE_SECONDS)
+        target_health.unhealthy_probability(
+            later + 2 * health.FAST_FAILURE_SECONDS
+        )
         > 0.9 * before
     )
 
 
-def test_what_was_cut_off_young_says_nothing():
-    judged = proven()
-    before = judged.unhealthy_probability(0.01)
+def test_request_cancelled_early_is_no_evidence():
+    target_health = proven_health()
+    before = target_health.unhealthy_probability(0.01)
     for number in range(20):
-        judged.begin(number, usual(), 0.0)
-        judged.end(number, None, 0.005)
-    assert judged.unhealthy_probability(0.01) == pytest.approx(before, abs=0.01)
+        target_health.begin(number, distribution(), 0.0)
+        target_health.end(number, None, 0.005)
+    assert target_health.unhealthy_probability(0.01) == pytest.approx(
+        before, abs=0.01
+    )
 
 
-def test_an_answer_that_began_before_the_phase_hides_it_not():
-    """An old request may end well while the later ones hang."""
-    judged = proven()
-    judged.begin("old", usual(0.8), 0.1)
+def test_success_of_an_older_request_does_not_hide_later_hangs():
+    """A request sent before the failure may succeed while later ones hang."""
+    target_health = proven_health()
+    target_health.begin("old", distribution(0.8), 0.1)
     for number in range(3):
-        judged.begin(number, usual(), 0.6)
-    judged.evaluate(1.2)
-    judged.end("old", Signal.WELL, 1.2)
-    assert judged.ejected
+        target_health.begin(number, distribution(), 0.6)
+    target_health.evaluate(1.2)
+    target_health.end("old", Signal.WELL, 1.2)
+    assert target_health.ejected
 
 
-def test_nothing_heard_for_long_leaves_what_is_known_of_any_target():
-    judged = proven()
-    outcome(judged, Signal.BROKEN, 0.5)
-    assert judged.ejected
+def test_probability_returns_to_the_prior_without_evidence():
+    target_health = proven_health()
+    record_outcome(target_health, Signal.BROKEN, 0.5)
+    assert target_health.ejected
     later = 0.5 + 10 * health.MEAN_UNHEALTHY_SECONDS
-    assert judged.unhealthy_probability(later) == pytest.approx(
+    assert target_health.unhealthy_probability(later) == pytest.approx(
         health.UNHEALTHY_PRIOR, abs=0.01
     )
-    assert judged.evaluate(later)
-    assert not judged.ejected
+    assert target_health.evaluate(later)
+    assert not target_health.ejected
 
 
-def test_one_test_at_a_time_and_the_next_after_a_pause():
-    judged = proven()
-    outcome(judged, Signal.BROKEN, 1.0)
-    assert not judged.allows_trial(1.0)
+def test_trials_are_sent_one_at_a_time_with_an_interval():
+    target_health = proven_health()
+    record_outcome(target_health, Signal.BROKEN, 1.0)
+    assert not target_health.allows_trial(1.0)
     later = 1.0 + health.TRIAL_INTERVAL_SECONDS
-    assert judged.allows_trial(later)
-    judged.begin("scout", usual(1.0), later)
-    assert not judged.allows_trial(later + health.TRIAL_INTERVAL_SECONDS)
-    judged.end("scout", Signal.BROKEN, later + 0.5)
-    assert judged.allows_trial(later + 0.5)
+    assert target_health.allows_trial(later)
+    target_health.begin("trial", distribution(1.0), later)
+    assert not target_health.allows_trial(later + health.TRIAL_INTERVAL_SECONDS)
+    target_health.end("trial", Signal.BROKEN, later + 0.5)
+    assert target_health.allows_trial(later + 0.5)
 
 
-def test_a_test_that_hangs_is_not_waited_for():
-    judged = proven()
-    outcome(judged, Signal.BROKEN, 1.0)
-    judged.begin("scout", usual(0.1), 2.0)
-    assert not judged.allows_trial(2.1)
-    assert judged.allows_trial(2.0 + health.TRIAL_INTERVAL_SECONDS)
+def test_hanging_trial_does_not_delay_the_next_one():
+    target_health = proven_health()
+    record_outcome(target_health, Signal.BROKEN, 1.0)
+    target_health.begin("trial", distribution(0.1), 2.0)
+    assert not target_health.allows_trial(2.1)
+    assert target_health.allows_trial(2.0 + health.TRIAL_INTERVAL_SECONDS)
 
 
-def test_the_next_test_follows_a_good_one_at_once():
-    judged = proven()
+def test_successful_trial_allows_the_next_one_at_once():
+    target_health = proven_health()
     for now in (1.0, 1.1):
-        outcome(judged, Signal.BROKEN, now)
-    outcome(judged, Signal.WELL, 1.6)
-    assert judged.ejected
-    assert judged.allows_trial(1.6)
+        record_outcome(target_health, Signal.BROKEN, now)
+    record_outcome(target_health, Signal.WELL, 1.6)
+    assert target_health.ejected
+    assert target_health.allows_trial(1.6)
 
 
-def test_a_pause_of_this_process_ages_nothing():
-    judged = proven()
-    judged.begin("r", usual(), 0.1)
-    judged.exclude_pause(4.0)
-    assert not judged.evaluate(4.15)
+def test_pause_of_the_process_does_not_age_requests():
+    target_health = proven_health()
+    target_health.begin("r", distribution(), 0.1)
+    target_health.exclude_pause(4.0)
+    assert not target_health.evaluate(4.15)
 
 
-def test_phases_are_found_in_a_drawn_course():
-    """A third of the time bad, three in four hang, 10 requests a second."""
+def test_filter_finds_the_state_of_a_simulated_target():
+    """While the target is unhealthy, three of four requests hang."""
     rng = random.Random(7)
-    judged = health.Health()
-    bad, flips_at, now, right, looked = False, 12.0, 0.0, 0, 0
+    target_health = health.Health()
+    unhealthy, flips_at, now, correct, total = False, 12.0, 0.0, 0, 0
     open_runs: list[tuple[float, int, Signal | None]] = []
     for number in range(6000):
         now += 0.1
         if now >= flips_at:
-            bad = not bad
+            unhealthy = not unhealthy
             mean = (
                 health.MEAN_UNHEALTHY_SECONDS
-                if bad
+                if unhealthy
                 else health.MEAN_HEALTHY_SECONDS
             )
             flips_at = now + rng.expovariate(1 / mean)
-        for ends, other, sign in [r for r in open_runs if r[0] <= now]:
-            judged.end(other, sign, ends)
-            open_runs.remove((ends, other, sign))
-        hangs = bad and rng.random() < health.UNHEALTHY_FAILURE_RATE
+        for ends, other, signal in [r for r in open_runs if r[0] <= now]:
+            target_health.end(other, signal, ends)
+            open_runs.remove((ends, other, signal))
+        hangs = unhealthy and rng.random() < health.UNHEALTHY_FAILURE_RATE
         ends = now + (1.5 if hangs else rng.lognormvariate(-2.3, 0.5))
-        judged.begin(number, usual(), now)
+        target_health.begin(number, distribution(), now)
         open_runs.append((ends, number, None if hangs else Signal.WELL))
-        looked += 1
-        right += (
-            judged.unhealthy_probability(now) > health.EJECTION_THRESHOLD
-        ) == bad
-    # What is left is the half second that a phase needs to show.
-    assert right / looked > 0.88
+        total += 1
+        correct += (
+            target_health.unhealthy_probability(now) > health.EJECTION_THRESHOLD
+        ) == unhealthy
+    # The errors are the delay until a change of state shows.
+    assert correct / total > 0.88
 
 
-def test_changes_are_kept_and_bounded():
-    judged = proven()
+def test_number_of_kept_changes_is_bounded():
+    target_health = proven_health()
     for number in range(60):
         for step in range(3):
-            outcome(judged, Signal.BROKEN, number + 0.1 * step)
+            record_outcome(target_health, Signal.BROKEN, number + 0.1 * step)
         for step in range(5):
-            outcome(judged, Signal.WELL, number + 0.4 + 0.1 * step)
-    assert len(judged.changes) == health.MAX_CHANGES
-    assert not judged.changes[-1].ejected
+            record_outcome(
+                target_health, Signal.WELL, number + 0.4 + 0.1 * step
+            )
+    assert len(target_health.changes) == health.MAX_CHANGES
+    assert not target_health.changes[-1].ejected
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -1,4 +1,4 @@
-"""Loads at their worst, replayed on what waits, is refused and is placed."""
+"""Simulated overload and hanging targets: queueing, refusal, selection."""
 
 import random
 
@@ -17,11 +17,13 @@
     return False
 
 
-def steady(played: replay.Replay, kind: replay.Kind, rate: float, until: float):
+def add_steady_load(
+    simulation: replay.Replay, kind: replay.Kind, rate: float, until: float
+):
     rng = random.Random(f"{kind.route} {rate}")
     now = rng.expovariate(rate)
     while now < until:
-        played.come(now, kind)
+        simulation.come(now, kind)
         now += rng.expovariate(rate)
 
 
@@ -29,34 +31,33 @@
     return sum(map(good, courses)) / len(courses)
 
 
-def burst() -> list[replay.Course]:
-    """Half as much again as two targets can run, for ten seconds."""
-    played = replay.Replay(2, 5, never)
-    steady(played, BOOK, 28.0, 10.0)
-    played.run(20.0)
-    return played.courses
+def simulate_burst() -> list[replay.Course]:
+    """150 % of the capacity of two targets for ten seconds."""
+    simulation = replay.Replay(2, 5, never)
+    add_steady_load(simulation, BOOK, 28.0, 10.0)
+    simulation.run(20.0)
+    return simulation.courses
 
 
-def test_a_burst_leaves_most_of_what_is_served_in_time():
-    """A slot for one that is late makes the next one late, too."""
-    courses = burst()
+def test_most_responses_during_a_burst_meet_the_objective():
+    """Guards against serving late requests first, which makes all late."""
+    courses = simulate_burst()
     served = [one for one in courses if one.served]
     assert share(served, lambda one: one.timely) > 0.75
     assert len(served) / len(courses) > 0.55
 
 
-def test_a_burst_holds_nobody_for_long_whom_it_does_not_serve():
-    refused = [one for one in burst() if not one.served]
+def test_requests_refused_during_a_burst_are_not_held_for_long():
+    refused = [one for one in simulate_burst() if not one.served]
     longest = max(one.ended - one.came for one in refused)
     assert longest < BOOK.objective + 2 * replay.TICK
 
 
-def test_a_longer_bound_on_waiting_holds_more_for_nothing(monkeypatch):
-    """The curve beside the choice: seconds held for those who are not served,
-    while no more are served in time."""
+def test_longer_queue_time_does_not_serve_more_requests_in_time(monkeypatch):
+    """Longer queueing only holds refused requests for longer."""
 
     def held_and_timely() -> tuple[float, int]:
-        courses = burst()
+        courses = simulate_burst()
         unserved = [one for one in courses if not one.served]
         held = sum(one.ended - one.came for one in unserved)
         return held, sum(one.timely for one in courses)
@@ -68,42 +69,44 @@
     assert timely_longer < 1.05 * timely
 
 
-def hanging(until: float, arrivals: float) -> replay.Replay:
-    """Two of six targets hang three requests in four from 5 s on."""
+def simulate_hanging_targets(until: float, arrivals: float) -> replay.Replay:
+    """Two of six targets hang three of four requests from 5 s on."""
 
     def bad(number: int, now: float) -> bool:
         return number < 2 and 5.0 <= now < until
 
-    played = replay.Replay(6, 5, bad)
-    steady(played, BOOK, 24.0, arrivals)
-    steady(played, LOOKUP, 12.0, arrivals)
-    return played
+    simulation = replay.Replay(6, 5, bad)
+    add_steady_load(simulation, BOOK, 24.0, arrivals)
+    add_steady_load(simulation, LOOKUP, 12.0, arrivals)
+    return simulation
 
 
-def test_a_third_of_the_targets_hanging_costs_few_requests():
-    """Three in four hang for four seconds; what is sent there is lost."""
+def test_hanging_targets_lose_few_requests():
+    """Two targets hang three of four requests for four seconds."""
 
-    played = hanging(until=9.0, arrivals=12.0)
-    played.run(20.0)
-    during = [c for c in played.courses if c.kind is BOOK and 5 <= c.came < 9]
-    # Blind placement would lose a third of three quarters.
+    simulation = simulate_hanging_targets(until=9.0, arrivals=12.0)
+    simulation.run(20.0)
+    during = [
+        c for c in simulation.courses if c.kind is BOOK and 5 <= c.came < 9
+    ]
+    # Random selection would lose a quarter of the requests.
     assert share(during, lambda one: one.hung) < 0.12
     assert share(during, lambda one: one.served) > 0.75
 
 
-def test_targets_that_hang_are_back_soon_after_they_are_well():
-    played = hanging(until=8.0, arrivals=14.0)
-    played.run(14.0)
-    for found in played.gates:
+def test_targets_that_hung_are_trusted_again_after_recovery():
+    simulation = simulate_hanging_targets(until=8.0, arrivals=14.0)
+    simulation.run(14.0)
+    for found in simulation.gates:
         assert (
             found.health.unhealthy_probability(14.0) < health.EJECTION_THRESHOLD
         )
 
 
 @pytest.mark.parametrize("kind", [BOOK, REFUND, LOOKUP])
-def test_every_request_ends_in_its_time(kind):
-    played = replay.Replay(3, 5, lambda number, now: number == 0)
-    steady(played, kind, 60.0, 5.0)
-    played.run(12.0)
-    for one in played.courses:
+def test_every_request_ends_by_its_deadline(kind):
+    simulation = replay.Replay(3, 5, lambda number, now: number == 0)
+    add_steady_load(simulation, kind, 60.0, 5.0)
+    simulation.run(12.0)
+    for one in simulation.courses:
         assert one.came <= one.ended <= one.came + kind.timeout + replay.TICK
--- a/test/test_retry_budget.py
+++ b/test/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeats, over processes and windows that slide."""
+"""Retry budgets over several processes and sliding windows."""
 
 import random
 
@@ -7,65 +7,67 @@
 WINDOW = 10.0
 
 
-def test_the_sum_over_processes_keeps_the_bound():
+def test_retries_of_all_processes_stay_within_the_limit():
     rng = random.Random(1)
     ratio, reserve, processes = 0.2, 50.0, 7
-    parts = [
+    budgets = [
         retry_budget.RetryBudget(ratio, WINDOW, reserve)
         for _ in range(processes)
     ]
     requests: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     now = 0.0
     while now < 60.0:
         now += rng.expovariate(100.0)
-        part = rng.choice(parts)
-        part.record_request(now)
+        budget = rng.choice(budgets)
+        budget.record_request(now)
         requests.append(now)
-        if rng.random() < 0.7 and part.spend(now, processes):
-            repeats.append(now)
-    for start in repeats:
-        spent = sum(1 for at in repeats if start <= at < start + WINDOW)
+        if rng.random() < 0.7 and budget.spend(now, processes):
+            retries.append(now)
+    for start in retries:
+        spent = sum(1 for at in retries if start <= at < start + WINDOW)
         asked = sum(1 for at in requests if start <= at < start + WINDOW)
         before = sum(1 for at in requests if start - WINDOW <= at < start)
         assert spent <= ratio * max(asked, before) + reserve
 
 
-def test_a_process_that_is_cut_off_keeps_its_part():
-    part = retry_budget.RetryBudget(0.0, WINDOW, 20.0)
-    part.spend(0.0, 10)
-    granted = sum(part.spend(1.0, 1) for _ in range(30))
+def test_partitioned_process_keeps_its_share_of_the_reserve():
+    budget = retry_budget.RetryBudget(0.0, WINDOW, 20.0)
+    budget.spend(0.0, 10)
+    granted = sum(budget.spend(1.0, 1) for _ in range(30))
     assert granted <= 2
 
 
-def test_processes_that_started_again_and_know_nobody_spend_no_reserve():
-    """All start at once; the sum keeps the bound before they have met."""
-    parts = [retry_budget.RetryBudget(0.0, WINDOW, 20.0) for _ in range(10)]
-    granted = sum(part.spend(0.0, 0) for part in parts for _ in range(30))
+def test_process_without_known_peers_spends_no_reserve():
+    """All processes may start at once, before they know each other."""
+    budgets = [retry_budget.RetryBudget(0.0, WINDOW, 20.0) for _ in range(10)]
+    granted = sum(budget.spend(0.0, 0) for budget in budgets for _ in range(30))
     assert granted == 0
-    granted = sum(part.spend(1.0, 10) for part in parts for _ in range(30))
+    granted = sum(
+        budget.spend(1.0, 10) for budget in budgets for _ in range(30)
+    )
     assert 0 < granted <= 20
 
 
-def test_old_repeats_are_forgotten():
-    part = retry_budget.RetryBudget(0.0, WINDOW, 2.0)
-    assert part.spend(0.0, 1)
-    assert not part.spend(WINDOW / 2, 1)
-    assert part.spend(WINDOW + 0.1, 1)
+def test_retries_outside_the_window_are_not_counted():
+    budget = retry_budget.RetryBudget(0.0, WINDOW, 2.0)
+    assert budget.spend(0.0, 1)
+    assert not budget.spend(WINDOW / 2, 1)
+    assert budget.spend(WINDOW + 0.1, 1)
 
 
-def test_other_bounds_hold_for_what_was_counted():
-    part = retry_budget.RetryBudget(0.0, WINDOW, 2.0)
-    assert part.spend(0.0, 1)
-    part.set_limits(0.0, WINDOW, 4.0)
-    granted = sum(part.spend(1.0, 1) for _ in range(10))
+def test_new_limits_apply_to_events_already_counted():
+    budget = retry_budget.RetryBudget(0.0, WINDOW, 2.0)
+    assert budget.spend(0.0, 1)
+    budget.set_limits(0.0, WINDOW, 4.0)
+    granted = sum(budget.spend(1.0, 1) for _ in range(10))
     assert granted == int(4.0 * retry_budget.USABLE_SHARE) - 1
 
 
-def test_a_kind_of_repeat_may_be_held_to_a_part_of_the_budget():
-    found = retry_budget.RetryBudget(1.0, 10.0, 0.0)
+def test_one_kind_of_retry_can_be_limited_to_a_share():
+    budget = retry_budget.RetryBudget(1.0, 10.0, 0.0)
     for _ in range(20):
-        found.record_request(0.0)
-    part = sum(found.spend(1.0, 1, share=0.5) for _ in range(20))
-    rest = sum(found.spend(1.0, 1) for _ in range(20))
-    assert (part, part + rest) == (9, 18)
+        budget.record_request(0.0)
+    first = sum(budget.spend(1.0, 1, share=0.5) for _ in range(20))
+    rest = sum(budget.spend(1.0, 1) for _ in range(20))
+    assert (first, first + rest) == (9, 18)
