--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -145,7 +145,7 @@
             the value of a request.
         process_count: Number of known processes including this one; 0 until
             the first contact.
-        picks: Number of selections.
+        selection_count: Number of selections.
     """
 
     def __init__(
@@ -170,7 +170,7 @@
         self._state_by_service: dict[str, _ServiceState] = {}
         self._targets_by_process: dict[str, dict[str, str]] = {}
         self.process_count = 0
-        self.picks = 0
+        self.selection_count = 0
 
     def set_retry_limits(self, bounds: RetryBudgetLimits) -> None:
         """Changes the limits of all retry budgets and keeps their counts."""
@@ -317,7 +317,7 @@
             view.next_trial_at = now + TRIAL_INTERVAL_SECONDS
         view.in_flight += 1
         view.pick_count += 1
-        self.picks += 1
+        self.selection_count += 1
         return Selection(view.name, view.process, required_health)
 
     def finish_attempt(
--- a/test/test_balancing_algorithms.py
+++ b/test/test_balancing_algorithms.py
@@ -40,8 +40,8 @@
 
 def test_shortest_local_queue_is_selected_if_all_targets_are_full():
     far = candidate("far", load=4.0, same_domain=False, far_cost=0.25)
-    near = [candidate("a", load=9.0), candidate("b", load=6.0)]
-    assert selected_names(far, *near) == {"b"}
+    local = [candidate("a", load=9.0), candidate("b", load=6.0)]
+    assert selected_names(far, *local) == {"b"}
 
 
 def test_equal_targets_are_selected_at_random_so_that_load_does_not_herd():
--- a/test/test_load_balancer.py
+++ b/test/test_load_balancer.py
@@ -59,13 +59,13 @@
 
 
 def selected_targets(balancer, asked, count=50, now=10.0) -> set[str]:
-    picked = set()
+    selected = set()
     for _ in range(count):
         selection = balancer.select(asked, frozenset(), now)
         if selection is not None:
-            picked.add(selection.target)
+            selected.add(selection.target)
             balancer.finish_attempt("s", selection, None, now)
-    return picked
+    return selected
 
 
 def test_non_idempotent_request_never_goes_to_an_ejected_target():
@@ -75,14 +75,14 @@
     balancer.update_load("b", load(State.SUSPECT), 10.0)
     assert selected_targets(balancer, requirements()) == set()
     # Also not if there is no other target, as most of its requests fail.
-    insisting = requirements(required_health=admission.RequiredHealth.ANY)
-    assert selected_targets(balancer, insisting) == set()
+    accepts_any = requirements(required_health=admission.RequiredHealth.ANY)
+    assert selected_targets(balancer, accepts_any) == set()
     idempotent = requirements(
         required_health=admission.RequiredHealth.ANY, idempotent=True
     )
     assert selected_targets(balancer, idempotent) == {"a", "b"}
     balancer.update_load("a", load(State.SUSPECT, risk=0.4), 10.0)
-    assert selected_targets(balancer, insisting) == set()
+    assert selected_targets(balancer, accepts_any) == set()
 
 
 def test_targets_are_counted_by_state_as_seen_by_this_process():
--- a/test/test_start.py
+++ b/test/test_start.py
@@ -1,4 +1,4 @@
-"""What a process loads at each start, and what it must not."""
+"""Modules that are imported at the start of `forklift run`."""
 
 import json
 import subprocess
@@ -8,9 +8,9 @@
 
 from test import helper
 
-# Loaded by none that serves: lines in colour, what the expression language and
-# the commands of operators need, metrics before anybody reads them.
-NEVER = (
+# Modules that a serving process does not need: coloured output, the expression
+# library, operator commands, and metrics before the first scrape.
+NOT_LOADED = (
     "rich",
     "ssl",
     "pygments",
@@ -57,11 +57,11 @@
     return set(json.loads(found.stdout))
 
 
-def test_what_serves_is_loaded(loaded):
+def test_serving_modules_are_loaded(loaded):
     assert {"forklift.shell.serve", "structlog", "pynng", "h11"} <= loaded
 
 
-@pytest.mark.parametrize("module", NEVER)
-def test_a_start_does_not_load(loaded, module):
-    """502 starts of one day took a good third of its processor time."""
+@pytest.mark.parametrize("module", NOT_LOADED)
+def test_module_is_not_loaded_at_start(loaded, module):
+    """Unneeded imports slow down every start."""
     assert module not in loaded
