--- a/forklift/report.py
+++ b/forklift/report.py
@@ -13,7 +13,7 @@
     error: str
 
 
-class Change(_Report):
+class EjectionChange(_Report):
     """Ejection or reinstatement of a target.
 
     Attributes:
@@ -29,7 +29,7 @@
     risk: float
 
 
-class Explanation(_Report):
+class TargetExplanation(_Report):
     """State of a target and its causes, reported by the target's process.
 
     Attributes:
@@ -60,7 +60,7 @@
     risk: float
     latency_by_route: dict[str, float]
     refusals: dict[str, int]
-    changes: tuple[Change, ...]
+    changes: tuple[EjectionChange, ...]
 
 
 class Target(_Report):
@@ -130,7 +130,7 @@
     broken: dict[str, int]
 
 
-class OrganisationUse(_Report):
+class OrganisationUsage(_Report):
     """Recent requests of an organisation at one process.
 
     Attributes:
@@ -150,7 +150,7 @@
     arrivals: float = 0.0
 
 
-class State(_Report):
+class StateDump(_Report):
     """Complete state dump of a process.
 
     Attributes:
@@ -171,7 +171,7 @@
     """
 
     status: Status
-    beside: tuple[Explanation, ...]
+    beside: tuple[TargetExplanation, ...]
     requests: dict[str, int]
     repeats_refused: dict[str, int]
     sends: dict[str, int]
@@ -180,10 +180,10 @@
     incarnation: int
     held: dict[str, float]
     store: dict[str, int]
-    organisations: tuple[OrganisationUse, ...] = ()
+    organisations: tuple[OrganisationUsage, ...] = ()
 
 
-class Announce(_Report):
+class TargetAnnouncement(_Report):
     """Registration or heartbeat of a target through the admin interface.
 
     Attributes:
--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -200,7 +200,7 @@
 @handles("POST", "targets/")
 async def announce(admin: Admin, call: Call) -> server.Response:
     """A target announces itself, or renews."""
-    said = msgspec.json.decode(call.body, type=report.Announce)
+    said = msgspec.json.decode(call.body, type=report.TargetAnnouncement)
     _check(call.name, said)
     proxy = admin.proxy
     proxy.announced.seen(
@@ -241,7 +241,7 @@
     return json(reports.status(admin.proxy))
 
 
-def _check(name: str, said: report.Announce) -> None:
+def _check(name: str, said: report.TargetAnnouncement) -> None:
     try:
         ini.name(name)
         ini.address(said.address)
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -23,13 +23,13 @@
     )
 
 
-def state(proxy) -> report.State:
+def state(proxy) -> report.StateDump:
     """The full dump of a process."""
     requests = {
         "/".join(part for part in key if part): count
         for key, count in proxy.counters.requests_by_outcome.items()
     }
-    return report.State(
+    return report.StateDump(
         status(proxy),
         tuple(explain(proxy, name) for name in proxy.beside.site_by_target),
         requests,
@@ -47,14 +47,14 @@
     )
 
 
-def _organisations(proxy) -> tuple[report.OrganisationUse, ...]:
+def _organisations(proxy) -> tuple[report.OrganisationUsage, ...]:
     quota = proxy.limiting.limiter.quota
     now = proxy.clock.monotonic()
     found = []
     for name, use in quota.usage_by_organisation.items():
         limit = proxy.active_catalog.catalog.organisation(name)
         found.append(
-            report.OrganisationUse(
+            report.OrganisationUsage(
                 name,
                 use.admitted,
                 use.refused,
@@ -68,7 +68,7 @@
     if rest:
         admitted = sum(one.admitted for one in rest)
         refused = sum(one.refused for one in rest)
-        found[LISTED:] = [report.OrganisationUse("", admitted, refused)]
+        found[LISTED:] = [report.OrganisationUsage("", admitted, refused)]
     return tuple(found)
 
 
@@ -80,14 +80,14 @@
     }
 
 
-def explain(proxy, name: str) -> report.Explanation | None:
+def explain(proxy, name: str) -> report.TargetExplanation | None:
     """Why a target beside this process stands so; None when not here."""
     site = proxy.beside.site_by_target.get(name)
     if site is None:
         return None
     found = site.controller
     load = found.load(proxy.clock.monotonic())
-    return report.Explanation(
+    return report.TargetExplanation(
         name,
         found.service,
         proxy.directory.own.name,
@@ -104,10 +104,10 @@
     )
 
 
-def _changes(proxy, site: beside.Site) -> tuple[report.Change, ...]:
+def _changes(proxy, site: beside.Site) -> tuple[report.EjectionChange, ...]:
     offset = proxy.clock.wall() - proxy.clock.monotonic()
     return tuple(
-        report.Change(
+        report.EjectionChange(
             round(change.at + offset, 3),
             change.ejected,
             str(change.signal),
--- a/forklift/ui/drain.py
+++ b/forklift/ui/drain.py
@@ -25,5 +25,5 @@
         return
     beside = asking.find_target(admin, target)
     path = f"/targets/{target}/drain"
-    drained = asking.ask(beside, "POST", path, report.Explanation)
+    drained = asking.ask(beside, "POST", path, report.TargetExplanation)
     click.echo(f"target {target} is {drained.state}, {drained.running} running")
--- a/forklift/ui/explain.py
+++ b/forklift/ui/explain.py
@@ -27,7 +27,7 @@
         return
     beside = asking.find_target(admin, name)
     path = f"/explain/{name}"
-    told = asking.ask(beside, "GET", path, report.Explanation)
+    told = asking.ask(beside, "GET", path, report.TargetExplanation)
     if as_json:
         asking.show_json(told)
     else:
@@ -48,7 +48,7 @@
         click.echo(line)
 
 
-def _show(told: report.Explanation) -> None:
+def _show(told: report.TargetExplanation) -> None:
     click.echo(
         f"{told.target} of {told.service}, beside {told.process}: {told.state}"
     )
--- a/forklift/ui/state.py
+++ b/forklift/ui/state.py
@@ -10,4 +10,4 @@
 @asking.admin_option
 def command(admin: str) -> None:
     """Print the full state of one process as JSON."""
-    asking.show_json(asking.ask(admin, "GET", "/state", report.State))
+    asking.show_json(asking.ask(admin, "GET", "/state", report.StateDump))
