--- a/forklift/platform/endpoints.py
+++ b/forklift/platform/endpoints.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from forklift import announcement
 from forklift import errors
+from forklift import heartbeats
 from forklift import ini
 from forklift import invalid_input
 from forklift.shell import server
@@ -99,8 +99,8 @@
         is_ready: Returns whether the process is ready for callers.
     """
 
-    on_heartbeat: Callable[[announcement.Heartbeat], None]
-    on_deregistration: Callable[[announcement.TargetIncarnation], None]
+    on_heartbeat: Callable[[heartbeats.Heartbeat], None]
+    on_deregistration: Callable[[heartbeats.TargetIncarnation], None]
     is_ready: Callable[[], bool]
 
     async def heartbeat(self, request: server.Request) -> server.Response:
@@ -133,7 +133,7 @@
         return server.Response(200 if self.is_ready() else 503, b"{}")
 
 
-def decode_heartbeat(target: str, body: bytes) -> announcement.Heartbeat:
+def decode_heartbeat(target: str, body: bytes) -> heartbeats.Heartbeat:
     """Decodes a heartbeat of a target.
 
     Args:
@@ -148,8 +148,8 @@
         address = ini.endpoint(message.address)
     except ValueError as error:
         raise InvalidCall(f"address: {error}") from error
-    return announcement.Heartbeat(
-        incarnation=announcement.TargetIncarnation(target, message.born or 0),
+    return heartbeats.Heartbeat(
+        incarnation=heartbeats.TargetIncarnation(target, message.born or 0),
         service=message.info.service,
         address=address,
         domain=message.info.zone,
@@ -162,14 +162,14 @@
 
 def decode_deregistration(
     target: str, body: bytes
-) -> announcement.TargetIncarnation:
+) -> heartbeats.TargetIncarnation:
     """Decodes a deregistration of a target, which may have no body.
 
     Raises:
         InvalidCall: The deregistration is malformed.
     """
     message = _decode(_deregistration_decoder, target, body or b"{}")
-    return announcement.TargetIncarnation(target, message.born or 0)
+    return heartbeats.TargetIncarnation(target, message.born or 0)
 
 
 def _decode(decoder: msgspec.json.Decoder, target: str, body: bytes):
--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -12,8 +12,8 @@
 import msgspec
 import structlog
 
-from forklift import announcement
 from forklift import errors
+from forklift import heartbeats
 from forklift import ini
 from forklift import report
 from forklift.shell import http
@@ -204,8 +204,8 @@
     _check(call.name, said)
     proxy = admin.proxy
     proxy.announced.seen(
-        announcement.Heartbeat(
-            announcement.TargetIncarnation(call.name, said.born),
+        heartbeats.Heartbeat(
+            heartbeats.TargetIncarnation(call.name, said.born),
             said.service,
             said.address,
             proxy.settings.process.domain,
@@ -230,7 +230,7 @@
 @handles("DELETE", "targets/")
 async def leave(admin: Admin, call: Call) -> server.Response:
     """A target is gone."""
-    admin.proxy.announced.left(announcement.parse_incarnation(call.name))
+    admin.proxy.announced.left(heartbeats.parse_incarnation(call.name))
     return json(reports.status(admin.proxy))
 
 
--- a/forklift/shell/announced.py
+++ b/forklift/shell/announced.py
@@ -6,9 +6,9 @@
 import structlog
 
 from forklift import admission
-from forklift import announcement
 from forklift import catalog
 from forklift import header_fields
+from forklift import heartbeats
 from forklift import invalid_input
 from forklift import settings
 from forklift.shell import beside as besides
@@ -50,7 +50,7 @@
         self._clock = clock
         self._on_change = on_change
         self._heard_by_target: dict[str, float] = {}
-        self._incarnations = announcement.IncarnationTracker(
+        self._incarnations = heartbeats.IncarnationTracker(
             self._period + HEARTBEAT_LATE
         )
         self.stopping = False
@@ -60,7 +60,7 @@
         """Seconds between two heartbeats of a target."""
         return self.settings.platform.heartbeat_ms / 1000
 
-    def seen(self, said: announcement.Heartbeat) -> None:
+    def seen(self, said: heartbeats.Heartbeat) -> None:
         """A target announced itself."""
         now = self._clock.monotonic()
         before = self._incarnations.current_name(said.incarnation.target)
@@ -75,7 +75,7 @@
         word = self._incarnations.record_heartbeat(
             said.incarnation, said.sequence, now
         )
-        if word is announcement.HeartbeatKind.LATE:
+        if word is heartbeats.HeartbeatKind.LATE:
             return
         name = said.incarnation.name
         if before is not None and before != name:
@@ -94,7 +94,7 @@
         if self.stopping:
             self._beside.pause(name)
 
-    def left(self, incarnation: announcement.TargetIncarnation) -> None:
+    def left(self, incarnation: heartbeats.TargetIncarnation) -> None:
         """A target says that it is about to end, or has."""
         self._leave(
             self._incarnations.record_leave(
@@ -104,7 +104,7 @@
 
     def recalled(self, name: str) -> None:
         """A peer remembers that a target had said so to an earlier run."""
-        incarnation = announcement.parse_incarnation(name)
+        incarnation = heartbeats.parse_incarnation(name)
         self._leave(
             self._incarnations.record_remembered_leave(
                 incarnation, self._clock.monotonic()
@@ -134,12 +134,12 @@
         )
 
     def _succeed(
-        self, before: str, name: str, word: announcement.HeartbeatKind
+        self, before: str, name: str, word: heartbeats.HeartbeatKind
     ) -> None:
         """Another life of a target counts from now on, or its name is known."""
         if before not in self._beside.site_by_target:
             return
-        if word is announcement.HeartbeatKind.FURTHER:
+        if word is heartbeats.HeartbeatKind.FURTHER:
             self._beside.rename(before, name)
             self._heard_by_target.pop(before, None)
             self._on_change()
@@ -225,8 +225,8 @@
             return
         self._heard_by_target[found.target] = now
         self._add(
-            announcement.Heartbeat(
-                announcement.TargetIncarnation(found.target),
+            heartbeats.Heartbeat(
+                heartbeats.TargetIncarnation(found.target),
                 own.platform.service,
                 own.platform.target,
                 own.process.domain,
@@ -236,7 +236,7 @@
             )
         )
 
-    def _add(self, said: announcement.Heartbeat) -> besides.Site:
+    def _add(self, said: heartbeats.Heartbeat) -> besides.Site:
         name = said.incarnation.name
         for other, site in list(self._beside.site_by_target.items()):
             if site.pool.address == said.address and other != name:
--- a/forklift_lab/promises.py
+++ b/forklift_lab/promises.py
@@ -3,7 +3,7 @@
 import collections
 import itertools
 
-from forklift import announcement
+from forklift import heartbeats
 from forklift.platform import platform_headers
 from forklift_lab import soak as soaks
 
@@ -187,7 +187,7 @@
 
 
 def _without_work(
-    soak: soaks.Soak, place: str, incarnation: announcement.TargetIncarnation
+    soak: soaks.Soak, place: str, incarnation: heartbeats.TargetIncarnation
 ) -> list[tuple[float, float]]:
     """Spans in which a life that was known had no work for too long."""
     target = soak.running.target_by_name[place]
--- a/forklift_lab/scripted.py
+++ b/forklift_lab/scripted.py
@@ -12,8 +12,8 @@
 from collections.abc import Awaitable
 from collections.abc import Callable
 
-from forklift import announcement
 from forklift import header_fields
+from forklift import heartbeats
 from forklift.shell import wire
 
 BODY = b"the whole answer"
@@ -266,13 +266,13 @@
         # Loop seconds when its word that it leaves was acknowledged, and when
         # its first heartbeat was, by life.
         self.left_at_by_incarnation: dict[
-            announcement.TargetIncarnation, float
+            heartbeats.TargetIncarnation, float
         ] = {}
         self.known_at_by_incarnation: dict[
-            announcement.TargetIncarnation, float
+            heartbeats.TargetIncarnation, float
         ] = {}
         # Its life when each request arrived.
-        self.incarnations_received: list[announcement.TargetIncarnation] = []
+        self.incarnations_received: list[heartbeats.TargetIncarnation] = []
         self._connections: set[Connection] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task] = set()
@@ -288,9 +288,9 @@
             task.cancel()
 
     @property
-    def incarnation(self) -> announcement.TargetIncarnation:
+    def incarnation(self) -> heartbeats.TargetIncarnation:
         """The run that it is in."""
-        return announcement.TargetIncarnation(self.name, self.born)
+        return heartbeats.TargetIncarnation(self.name, self.born)
 
     def restart(self) -> None:
         """Crashes, and starts again under its name: it knows nothing."""
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -15,7 +15,7 @@
 from collections.abc import Awaitable
 from collections.abc import Callable
 
-from forklift import announcement
+from forklift import heartbeats
 from forklift.platform import platform_headers
 from forklift.platform import store
 from forklift.shell import announced
@@ -180,9 +180,9 @@
         self.lateness: list[tuple[float, float]] = []
         # Lives that began under a name that was used before, with the process
         # beside, and when each life ended.
-        self.returns: list[tuple[str, announcement.TargetIncarnation]] = []
+        self.returns: list[tuple[str, heartbeats.TargetIncarnation]] = []
         self.ended_at_by_incarnation: dict[
-            announcement.TargetIncarnation, float
+            heartbeats.TargetIncarnation, float
         ] = {}
         self._returning = seed >= RETURNS_FROM
         themes = (*THEMES, RETURNS) if self._returning else THEMES
--- a/test/processes.py
+++ b/test/processes.py
@@ -3,8 +3,8 @@
 import contextlib
 import dataclasses
 
-from forklift import announcement
 from forklift import header_fields
+from forklift import heartbeats
 from forklift import settings
 from forklift.platform import store as adapter
 from forklift.shell import client
@@ -83,8 +83,8 @@
         return one
 
     def announce(self, one: proxy.Proxy, number: int, **changes) -> None:
-        said = announcement.Heartbeat(
-            announcement.TargetIncarnation(f"t{number}"),
+        said = heartbeats.Heartbeat(
+            heartbeats.TargetIncarnation(f"t{number}"),
             "s",
             self.targets[number].address,
             "d",
--- a/test/test_announcement.py
+++ b/test/test_heartbeats.py
@@ -2,23 +2,23 @@
 
 import pytest
 
-from forklift import announcement
+from forklift import heartbeats
 
 # Seconds by which a heartbeat may be late.
 LATE = 5.0
-OLD = announcement.TargetIncarnation("t", 100)
-NEW = announcement.TargetIncarnation("t", 200)
-NAMELESS = announcement.TargetIncarnation("t")
+OLD = heartbeats.TargetIncarnation("t", 100)
+NEW = heartbeats.TargetIncarnation("t", 200)
+NAMELESS = heartbeats.TargetIncarnation("t")
 
 
 class Story:
     """What was heard of target t, at which times."""
 
     def __init__(self):
-        self.lives = announcement.IncarnationTracker(LATE)
+        self.lives = heartbeats.IncarnationTracker(LATE)
         self.now = 0.0
         self._sequence_by_incarnation: dict[
-            announcement.TargetIncarnation, int
+            heartbeats.TargetIncarnation, int
         ] = {}
 
     def after(self, seconds: float) -> "Story":
@@ -27,19 +27,19 @@
 
     def beats(
         self,
-        incarnation: announcement.TargetIncarnation,
+        incarnation: heartbeats.TargetIncarnation,
         sequence: int | None = None,
-    ) -> announcement.HeartbeatKind:
+    ) -> heartbeats.HeartbeatKind:
         if sequence is None:
             sequence = self._sequence_by_incarnation.get(incarnation, 0) + 1
             self._sequence_by_incarnation[incarnation] = sequence
         return self.lives.record_heartbeat(incarnation, sequence, self.now)
 
-    def leaves(self, incarnation: announcement.TargetIncarnation) -> str | None:
+    def leaves(self, incarnation: heartbeats.TargetIncarnation) -> str | None:
         return self.lives.record_leave(incarnation, self.now)
 
     def is_recalled(
-        self, incarnation: announcement.TargetIncarnation
+        self, incarnation: heartbeats.TargetIncarnation
     ) -> str | None:
         return self.lives.record_remembered_leave(incarnation, self.now)
 
@@ -51,7 +51,7 @@
         return self.lives.current_name("t")
 
 
-FIRST, FURTHER, LATE_WORD = announcement.HeartbeatKind
+FIRST, FURTHER, LATE_WORD = heartbeats.HeartbeatKind
 
 
 def test_a_target_is_back_under_its_name_though_it_never_said_that_it_leaves():
@@ -165,7 +165,7 @@
 def test_a_false_birth_keeps_the_true_life_out_for_no_longer_than_a_late_word():
     story = Story()
     story.beats(OLD)
-    assert story.beats(announcement.TargetIncarnation("t", 10**15)) is FIRST
+    assert story.beats(heartbeats.TargetIncarnation("t", 10**15)) is FIRST
     assert story.after(1.5).beats(OLD) is LATE_WORD
     assert story.after(LATE).beats(OLD) is FIRST
 
@@ -204,13 +204,13 @@
 
 
 def test_only_the_last_lives_are_remembered(monkeypatch):
-    monkeypatch.setattr(announcement, "MAX_REMEMBERED", 3)
-    lives = announcement.IncarnationTracker(LATE)
+    monkeypatch.setattr(heartbeats, "MAX_REMEMBERED", 3)
+    lives = heartbeats.IncarnationTracker(LATE)
     for number in range(10):
         lives.record_heartbeat(
-            announcement.TargetIncarnation(f"t{number}", 1), 1, float(number)
+            heartbeats.TargetIncarnation(f"t{number}", 1), 1, float(number)
         )
         lives.record_remembered_leave(
-            announcement.TargetIncarnation("t", number + 1), 0.0
+            heartbeats.TargetIncarnation("t", number + 1), 0.0
         )
     assert len(lives._current_by_target) == len(lives._ended) == 3
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -14,9 +14,9 @@
 import pytest
 from hypothesis import strategies
 
-from forklift import announcement
 from forklift import errors
 from forklift import header_fields
+from forklift import heartbeats
 from forklift import invalid_input
 from forklift import messages
 from forklift.platform import configuration
@@ -128,8 +128,8 @@
     """Records what the endpoints pass on."""
 
     def __init__(self):
-        self.seen: list[announcement.Heartbeat] = []
-        self.left: list[announcement.TargetIncarnation] = []
+        self.seen: list[heartbeats.Heartbeat] = []
+        self.left: list[heartbeats.TargetIncarnation] = []
         self._endpoints = endpoints.Endpoints(
             self.seen.append, self.left.append, lambda: True
         )
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from forklift import announcement
+from forklift import heartbeats
 from forklift.platform import configuration
 from forklift.platform import endpoints
 from forklift.shell import server
@@ -106,8 +106,8 @@
     """Records what the endpoints pass on."""
 
     def __init__(self):
-        self.announcements: list[announcement.Heartbeat] = []
-        self.left: list[announcement.TargetIncarnation] = []
+        self.announcements: list[heartbeats.Heartbeat] = []
+        self.left: list[heartbeats.TargetIncarnation] = []
         self.ready = True
         self.doors = endpoints.Endpoints(
             self.announcements.append, self.left.append, lambda: self.ready
@@ -134,8 +134,8 @@
     path = "/Instances.Heartbeat/i-1"
     assert receiver.call(path, json.dumps(HEARTBEAT).encode()).status == 200
     assert receiver.announcements == [
-        announcement.Heartbeat(
-            announcement.TargetIncarnation("i-1"),
+        heartbeats.Heartbeat(
+            heartbeats.TargetIncarnation("i-1"),
             "s",
             "10.0.0.1:80",
             "z",
@@ -152,7 +152,7 @@
     body = json.dumps({**HEARTBEAT, "born": 1764720000123}).encode()
     assert receiver.call("/Instances.Heartbeat/i-1", body).status == 200
     (announced,) = receiver.announcements
-    assert announced.incarnation == announcement.TargetIncarnation(
+    assert announced.incarnation == heartbeats.TargetIncarnation(
         "i-1", 1764720000123
     )
 
@@ -166,16 +166,14 @@
 def test_deregistration_needs_no_body():
     receiver = Receiver()
     assert receiver.call("/Instances.Deregister/i-1").status == 200
-    assert receiver.left == [announcement.TargetIncarnation("i-1")]
+    assert receiver.left == [heartbeats.TargetIncarnation("i-1")]
 
 
 def test_deregistration_may_carry_start_time():
     receiver = Receiver()
     body = b'{"born": 1764720000123}'
     assert receiver.call("/Instances.Deregister/i-1", body).status == 200
-    assert receiver.left == [
-        announcement.TargetIncarnation("i-1", 1764720000123)
-    ]
+    assert receiver.left == [heartbeats.TargetIncarnation("i-1", 1764720000123)]
 
 
 @pytest.mark.parametrize(("ready", "status"), [(True, 200), (False, 503)])
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from forklift import announcement
 from forklift import header_fields
+from forklift import heartbeats
 from forklift import load_balancer
 from forklift import messages
 from forklift import policy
@@ -103,7 +103,7 @@
 
 def test_a_target_that_left_is_not_taken_back():
     async def work(fleet):
-        fleet.proxies[0].announced.left(announcement.TargetIncarnation("t0"))
+        fleet.proxies[0].announced.left(heartbeats.TargetIncarnation("t0"))
         fleet.announce(fleet.proxies[0], 0, sequence=5)
         assert (await fleet.ask(0)).status == 200
         assert fleet.targets[0].received == []
@@ -580,7 +580,7 @@
         fleet.announce(
             fleet.proxies[2],
             2,
-            incarnation=announcement.TargetIncarnation("t9"),
+            incarnation=heartbeats.TargetIncarnation("t9"),
             sequence=1,
         )
         assert (await asked).status == 200
@@ -687,7 +687,7 @@
 def test_one_that_started_again_is_reminded_of_what_had_left():
     async def work(fleet):
         old = fleet.proxies.pop(0)
-        old.announced.left(announcement.TargetIncarnation("t0"))
+        old.announced.left(heartbeats.TargetIncarnation("t0"))
         other = fleet.proxies[0]
         await helper.until(lambda: len(other.balancer.views("s")) == 1)
         fixed = dataclasses.replace(
@@ -703,7 +703,7 @@
         await new.start()
         lives = new.announced._incarnations
         await helper.until(
-            lambda: announcement.TargetIncarnation("t0") in lives._ended
+            lambda: heartbeats.TargetIncarnation("t0") in lives._ended
         )
         # A heartbeat that was late comes to the new run.
         fleet.announce(new, 0)
@@ -746,8 +746,8 @@
 def test_an_address_used_again_ends_the_target_before():
     async def work(fleet):
         one = fleet.proxies[0]
-        said = announcement.Heartbeat(
-            announcement.TargetIncarnation("t9"),
+        said = heartbeats.Heartbeat(
+            heartbeats.TargetIncarnation("t9"),
             "s",
             fleet.targets[0].address,
             "d",
@@ -785,7 +785,7 @@
             await asyncio.sleep(0)
         assert one.forwarder.sends <= sends + 1
         fleet.announce(
-            one, 0, incarnation=announcement.TargetIncarnation("t7"), sequence=1
+            one, 0, incarnation=heartbeats.TargetIncarnation("t7"), sequence=1
         )
         assert (await asked).status == 200
 
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -8,9 +8,9 @@
 from click import testing
 
 from forklift import admission
-from forklift import announcement
 from forklift import fingerprint
 from forklift import header_fields
+from forklift import heartbeats
 from forklift.shell import clock
 from forklift.shell import http
 from forklift.shell import keeping
@@ -46,9 +46,7 @@
     for number, target in enumerate(fleet.targets):
         if target.down:
             await target.revive()
-            incarnation = announcement.TargetIncarnation(
-                target.name, target.born
-            )
+            incarnation = heartbeats.TargetIncarnation(target.name, target.born)
             fleet.announce(
                 fleet.proxies[number], number, incarnation=incarnation
             )
@@ -173,7 +171,7 @@
         target.script.append("reset")
         assert (await fleet.ask()).status == 502
         target.born += scripted.RESTART_MS
-        incarnation = announcement.TargetIncarnation(target.name, target.born)
+        incarnation = heartbeats.TargetIncarnation(target.name, target.born)
         fleet.announce(one, 0, incarnation=incarnation)
         (found,) = one.quarantine.all_evidence(one.clock.monotonic())
         assert len(found.crashes) == 1
@@ -188,7 +186,7 @@
         target.script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
-        one.announced.left(announcement.TargetIncarnation(target.name))
+        one.announced.left(heartbeats.TargetIncarnation(target.name))
         target.crash()
         assert (await runs).status == 502
         assert one.quarantine.all_evidence(one.clock.monotonic()) == []
@@ -313,7 +311,7 @@
 
     async def work(fleet):
         entry, other = fleet.proxies
-        entry.announced.left(announcement.TargetIncarnation("t0"))
+        entry.announced.left(heartbeats.TargetIncarnation("t0"))
         hold(other)
         answer = await fleet.ask(0, "/a/deadly")
         assert answer.status == 503
@@ -396,7 +394,7 @@
 
     async def work(fleet):
         entry, other = fleet.proxies
-        entry.announced.left(announcement.TargetIncarnation("t0"))
+        entry.announced.left(heartbeats.TargetIncarnation("t0"))
         other.beside.site_by_target["t1"].controller.slots = 1
         fleet.targets[1].script.append("hold")
         runs = asyncio.create_task(fleet.ask(1))
@@ -418,7 +416,7 @@
 
     async def work(fleet):
         entry, other = fleet.proxies
-        entry.announced.left(announcement.TargetIncarnation("t0"))
+        entry.announced.left(heartbeats.TargetIncarnation("t0"))
         suspect(other)
         gate_of = other.beside.site_by_target["t1"].controller
         arrive, seen = gate_of.admit, []
@@ -461,7 +459,7 @@
         one, target = fleet.proxies[0], fleet.targets[0]
         target.script.append("reset")
         assert (await fleet.ask()).status == 502
-        fleet.announce(one, 0, incarnation=announcement.TargetIncarnation("t9"))
+        fleet.announce(one, 0, incarnation=heartbeats.TargetIncarnation("t9"))
         assert len(one.quarantine.all_evidence(one.clock.monotonic())) == 1
 
     first = processes.record(1, r=processes.route("non_idempotent"))
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from forklift import announcement
 from forklift import header_fields
+from forklift import heartbeats
 from forklift import load_balancer
 from forklift import membership
 from forklift import messages
@@ -17,13 +17,13 @@
 from test import processes
 
 State = messages.TargetState
-OLD = announcement.TargetIncarnation("t0", 100)
-NEW = announcement.TargetIncarnation("t0", 200)
+OLD = heartbeats.TargetIncarnation("t0", 100)
+NEW = heartbeats.TargetIncarnation("t0", 200)
 
 
 def announce(
     fleet: processes.Fleet,
-    incarnation: announcement.TargetIncarnation,
+    incarnation: heartbeats.TargetIncarnation,
     **changes,
 ):
     """The target beside the first process sends a heartbeat."""
@@ -158,7 +158,7 @@
         own = dataclasses.replace(one.settings.platform, service="s")
         one.announced.settings = dataclasses.replace(one.settings, platform=own)
         one.beside.site_by_target.clear()
-        one.announced._incarnations = announcement.IncarnationTracker(5.0)
+        one.announced._incarnations = heartbeats.IncarnationTracker(5.0)
         one.announced._found_beside(announced.probe.Health(True, "t0", slots=3))
         site = one.beside.site_by_target["t0"]
         site.pool.address = fleet.targets[0].address
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from forklift import announcement
+from forklift import heartbeats
 from forklift.platform import platform_headers
 from forklift.shell import client
 from forklift.shell import wire
@@ -42,7 +42,7 @@
 # When a read that waits was lost, and is not given up in time.
 LOST = ACKNOWLEDGED - soak.GIVES_UP + 1.0
 # A target, and when it was known to be back.
-LIFE = announcement.TargetIncarnation("t", 2)
+LIFE = heartbeats.TargetIncarnation("t", 2)
 WORKED = 30.0 + soak.WORK_WITHIN
 BACK = {
     "returns": [("p", LIFE)],
@@ -84,10 +84,10 @@
         self.played = ["well"] * len(arrivals)
         self.incarnations_received = [LIFE] * len(arrivals)
         self.left_at_by_incarnation: dict[
-            announcement.TargetIncarnation, float
+            heartbeats.TargetIncarnation, float
         ] = {}
         self.known_at_by_incarnation: dict[
-            announcement.TargetIncarnation, float
+            heartbeats.TargetIncarnation, float
         ] = {}
         self.arrived = {name for name, _ in arrivals}
 
