--- a/forklift/gossip.py
+++ b/forklift/gossip.py
@@ -1,9 +1,9 @@
-"""Decides whom to tell what: pings, rumors, syncs.
+"""SWIM gossip: failure detection, rumors and anti-entropy sync.
 
-News spreads as rumors (Das, Gupta and Motivala, "SWIM", 2002): a process that
-is suspected anywhere hears of it and refutes it with a higher incarnation, so
-that a one-way cut between two processes takes nobody out. Each process talks
-to a bounded set of peers only.
+Updates spread as rumors (Das, Gupta and Motivala, "SWIM", 2002). A process that
+is suspected anywhere learns of it and refutes it with a higher incarnation, so
+a one-way partition between two processes takes neither out of service. Each
+process talks to a bounded set of peers.
 """
 
 import collections
@@ -16,7 +16,7 @@
 from forklift import messages
 from forklift import rendezvous
 
-# What tells the digest of this process's quarantine.
+# Returns the digest of the quarantine of this process.
 Digest = Callable[[], int]
 Liveness = messages.Liveness
 
@@ -25,32 +25,34 @@
 PONG_TIMEOUT = 1.0
 MISSES_BEFORE_SUSPECT = 2
 EXPIRY_PERIOD = 0.5
-# Seconds between pings to processes that are taken for dead: one that starts
-# again while the store is away is met by those who know its address.
+# Seconds between pings to dead members. Peers that remember the address of a
+# process find it this way if it restarts while the store is unavailable.
 DEAD_PING_PERIOD = 1.0
-# News that one message carries: so much that it fits a datagram. When all start
-# at once each has news of all, and what one message lacks another must bring.
+# Keeps a ping within one datagram. Further rumors wait for the next ping.
 MAX_RUMORS_PER_PING = 24
-# Seconds between two tellings of news: what comes together, as when all start
-# at once, is told together.
+# Seconds between rounds of gossip; updates that arrive in between are batched.
 GOSSIP_PERIOD = 0.15
+# Peers that receive the rumors of one round of gossip.
 FAN_OUT = 3
+# A rumor is sent this many times log2 of the number of members.
 RETRANSMIT_FACTOR = 1
 SYNC_PERIOD = 5.0
-# Seconds without news after which a difference is more than news on its way.
+# Seconds without new rumors after which differing digests call for a sync.
+# Until then rumors may still be spreading.
 SYNC_SETTLE_TIME = 2.0
 MAX_RUMORS_PER_SYNC = 100
 
 
 @dataclasses.dataclass(frozen=True)
 class Send:
-    """A control message to be sent.
+    """A control message to send.
 
     Attributes:
         address: Control address of the receiver.
         message: The message.
-        renew: Whether it goes over a new connection, as what went over the old
-            one was not answered: a silent one takes messages for minutes.
+        new_connection: Whether to open a new connection, because a message on
+            the old one was not answered. A broken connection can accept data
+            for minutes.
     """
 
     address: str
@@ -59,35 +61,35 @@
 
 
 class Gossip:
-    """Decides whom to tell what: pings, rumors, syncs."""
+    """Decides which messages to send to which peers."""
 
     def __init__(
         self,
         directory: membership.Directory,
         rng: random.Random,
-        evidence: Digest = lambda: 0,
+        quarantine_digest: Digest = lambda: 0,
     ):
         self.directory = directory
-        self._evidence = evidence
+        self._quarantine_digest = quarantine_digest
         self._rng = rng
         self._number = 0
         self._round: list[str] = []
-        self._waiting_by_number: dict[int, tuple[str, float]] = {}
+        self._pending_by_number: dict[int, tuple[str, float]] = {}
         self._misses_by_name: collections.Counter[str] = collections.Counter()
-        self._tellings_by_name: dict[str, int] = {}
+        self._transmits_by_name: dict[str, int] = {}
         self._next_ping = 0.0
-        self._next_revival = 0.0
-        self._next_spread = 0.0
-        self._news = False
-        self._news_at = float("-inf")
+        self._next_dead_ping = 0.0
+        self._next_gossip = 0.0
+        self._has_rumors = False
+        self._last_gossip = float("-inf")
         self._next_sync = 0.0
         self._next_expiry = 0.0
         self._peers: list[str] = []
-        self._peers_of = -1
+        self._peers_generation = -1
 
     def peers(self) -> list[str]:
-        """Names of the bounded set of peers that are pinged."""
-        if self._peers_of != self.directory.generation:
+        """Names of the peers that are pinged, at most `MAX_PEERS`."""
+        if self._peers_generation != self.directory.generation:
             names = [
                 name
                 for name, member in self.directory.member_by_name.items()
@@ -97,16 +99,16 @@
             if len(names) > MAX_PEERS:
                 own = self.directory.own.name
                 self._peers = rendezvous.select(own, names, MAX_PEERS)
-            self._peers_of = self.directory.generation
+            self._peers_generation = self.directory.generation
         return self._peers
 
     @property
     def has_pending_rumors(self) -> bool:
-        """Whether there is news that peers are told with the next tick."""
-        return self._news
+        """Whether the next round of gossip has rumors to send."""
+        return self._has_rumors
 
     def unreachable_peers(self) -> tuple[str, ...]:
-        """Names of peers whose answers are missing."""
+        """Names of peers that missed several pings in a row, sorted."""
         return tuple(
             sorted(
                 n
@@ -116,70 +118,74 @@
         )
 
     def tick(self, now: float) -> list[Send]:
-        """Lets time pass."""
-        sends, news = self._count_misses(now)
+        """Returns the messages that are due.
+
+        Args:
+            now: Monotonic seconds.
+        """
+        sends, rumors = self._check_timeouts(now)
         if now >= self._next_expiry:
             self._next_expiry = now + EXPIRY_PERIOD
-            news += self.directory.expire(now)
-        for rumor in news:
+            rumors += self.directory.expire(now)
+        for rumor in rumors:
             self.queue_rumor(rumor.info.name)
-        sends += self._tell_news(now)
+        sends += self._gossip(now)
         if now >= self._next_ping:
             self._next_ping = now + PING_PERIOD
             sends += self._ping_next(now)
-        if now >= self._next_revival:
-            self._next_revival = now + DEAD_PING_PERIOD
-            sends += self._ping_gone(now)
+        if now >= self._next_dead_ping:
+            self._next_dead_ping = now + DEAD_PING_PERIOD
+            sends += self._ping_dead(now)
         return sends
 
-    def _ping_gone(self, now: float) -> list[Send]:
-        """Asks one process that is gone whether it is back."""
-        gone = [
+    def _ping_dead(self, now: float) -> list[Send]:
+        """Pings one random dead or departed member."""
+        dead = [
             name
             for name, member in self.directory.member_by_name.items()
             if not member.usable
         ]
-        if not gone:
+        if not dead:
             return []
-        return [self._ping(self._rng.choice(gone), now)]
+        return [self._ping(self._rng.choice(dead), now)]
 
     def queue_rumor(self, name: str) -> None:
-        """Has a few peers told with the next tick, others with later pings."""
+        """Queues a rumor about a process for gossip and later pings."""
         members = len(self.directory.member_by_name) + 2
-        tellings = math.ceil(RETRANSMIT_FACTOR * math.log2(members))
-        self._tellings_by_name[name] = tellings
-        self._news = True
+        transmits = math.ceil(RETRANSMIT_FACTOR * math.log2(members))
+        self._transmits_by_name[name] = transmits
+        self._has_rumors = True
 
-    def _tell_news(self, now: float) -> list[Send]:
-        if not self._news or now < self._next_spread:
+    def _gossip(self, now: float) -> list[Send]:
+        if not self._has_rumors or now < self._next_gossip:
             return []
-        self._news = False
-        self._news_at = now
-        self._next_spread = now + GOSSIP_PERIOD
-        return [self._ping(peer) for peer in self._mostly_near()]
+        self._has_rumors = False
+        self._last_gossip = now
+        self._next_gossip = now + GOSSIP_PERIOD
+        return [self._ping(peer) for peer in self._choose_gossip_peers()]
 
-    def _mostly_near(self) -> list[str]:
-        """Peers to tell news: any one, the others in our failure domain.
+    def _choose_gossip_peers(self) -> list[str]:
+        """Chooses peers for gossip: one at random, the others in this domain.
 
-        Bytes between failure domains are dear, and one teller in each of them
-        reaches the rest there.
+        Traffic between failure domains is expensive, and one peer in each
+        domain is enough to reach the others there.
         """
         peers = self.peers()
         if not peers:
             return []
         chosen = [self._rng.choice(peers)]
         others = [name for name in peers if name not in chosen]
-        near = [name for name in others if self._near(name)]
+        near = [name for name in others if self._in_same_domain(name)]
         pool = near if len(near) >= FAN_OUT - 1 else others
         count = min(FAN_OUT - 1, len(pool))
         return chosen + self._rng.sample(pool, count)
 
-    def _near(self, name: str) -> bool:
+    def _in_same_domain(self, name: str) -> bool:
         info = self.directory.member_by_name[name].info
         return info.domain == self.directory.own.domain
 
     def receive(self, message: messages.Control, now: float) -> list[Send]:
-        """Takes a ping, pong or sync in and answers it."""
+        """Handles a ping, pong or sync and returns the replies."""
         sends: list[Send] = []
         described = isinstance(message.sender, messages.ProcessInfo)
         if described and self.directory.apply_direct(message.sender, now):
@@ -194,60 +200,71 @@
                 message.number,
                 self.directory.digest(),
                 self._rumors(),
-                self._evidence(),
+                self._quarantine_digest(),
             )
             sends.append(Send(back, pong, message.is_retry))
         elif isinstance(message, messages.Pong):
-            self._waiting_by_number.pop(message.number, None)
+            self._pending_by_number.pop(message.number, None)
             self._misses_by_name.pop(message.sender.name, None)
             sends += self._sync_if_differs(message, now)
         elif isinstance(message, messages.SyncRequest):
-            parts = self._everything(membership.services(message.sender))
+            parts = self._sync_replies(membership.services(message.sender))
             sends += [Send(back, part) for part in parts]
         return sends
 
     def join(self, address: str) -> Send:
-        """Asks a process that is known by address only for all it knows."""
+        """Requests a full sync from a process known only by its address."""
         return Send(address, self._sync_request())
 
     def _sync_request(self) -> messages.SyncRequest:
-        return messages.SyncRequest(self.directory.own, self._evidence())
+        return messages.SyncRequest(
+            self.directory.own, self._quarantine_digest()
+        )
 
     def leave(self) -> list[Send]:
-        """Tells peers that this process is leaving for good."""
+        """Returns messages that announce that this process leaves."""
         own = self.directory.own
         rumor = messages.Rumor(Liveness.LEFT, own)
         sends = []
         for name in self.peers()[: FAN_OUT * 4]:
             address = self.directory.member_by_name[name].info.control
             ping = messages.Ping(
-                own, 0, 0.0, 0, (rumor,), evidence_digest=self._evidence()
+                own,
+                0,
+                0.0,
+                0,
+                (rumor,),
+                evidence_digest=self._quarantine_digest(),
             )
             sends.append(Send(address, ping))
         return sends
 
-    def _count_misses(
+    def _check_timeouts(
         self, now: float
     ) -> tuple[list[Send], list[messages.Rumor]]:
-        """Asks again where an answer is missing; news of who is suspected."""
-        sends, news = [], []
-        for number, (name, until) in list(self._waiting_by_number.items()):
+        """Handles pings that timed out.
+
+        Returns:
+            Pings to retry, and rumors about newly suspected members.
+        """
+        sends, rumors = [], []
+        for number, (name, until) in list(self._pending_by_number.items()):
             if now < until:
                 continue
-            del self._waiting_by_number[number]
+            del self._pending_by_number[number]
             self._misses_by_name[name] += 1
             if name in self.directory.member_by_name:
-                # The connection may have fallen silent, in either direction.
-                sends.append(self._ping(name, now, again=True))
+                # Retries on a new connection: the old one may be broken.
+                sends.append(self._ping(name, now, is_retry=True))
             if self._misses_by_name[name] < MISSES_BEFORE_SUSPECT:
                 continue
             if self.directory.mark(name, Liveness.SUSPECT, now):
-                news.append(self.directory.rumor(name))
+                rumors.append(self.directory.rumor(name))
         for name in list(self._misses_by_name):
             member = self.directory.member_by_name.get(name)
             if member is None or not member.usable:
                 del self._misses_by_name[name]
-        return sends, news
+        return sends, rumors
 
     def _ping_next(self, now: float) -> list[Send]:
         if not self._round:
@@ -259,14 +276,14 @@
             if member is not None and member.usable:
                 ping = self._ping(name, now)
                 waiting = (name, now + PONG_TIMEOUT)
-                self._waiting_by_number[self._number] = waiting
+                self._pending_by_number[self._number] = waiting
                 return [ping]
         return []
 
     def _ping(
-        self, name: str, now: float | None = None, again: bool = False
+        self, name: str, now: float | None = None, is_retry: bool = False
     ) -> Send:
-        """A ping; without `now` it only carries news, no answer is due."""
+        """Creates a ping; without `now` it requests no reply."""
         self._number += 1
         ping = messages.Ping(
             self.directory.own,
@@ -274,27 +291,27 @@
             now or 0.0,
             self.directory.digest(),
             self._rumors(about=name),
-            again,
-            self._evidence(),
+            is_retry,
+            self._quarantine_digest(),
         )
         address = self.directory.member_by_name[name].info.control
-        return Send(address, ping, again)
+        return Send(address, ping, is_retry)
 
     def _rumors(self, about: str = "") -> tuple[messages.Rumor, ...]:
-        """News that others may lack, and what is held of the receiver."""
+        """Takes queued rumors, and how this process sees the receiver."""
         rumors = []
         member = self.directory.member_by_name.get(about)
         if member is not None and member.liveness is not Liveness.ALIVE:
             rumors.append(self.directory.rumor(about))
         fresh = sorted(
-            self._tellings_by_name,
-            key=self._tellings_by_name.__getitem__,
+            self._transmits_by_name,
+            key=self._transmits_by_name.__getitem__,
             reverse=True,
         )
         for name in fresh[:MAX_RUMORS_PER_PING]:
-            self._tellings_by_name[name] -= 1
-            if self._tellings_by_name[name] <= 0:
-                del self._tellings_by_name[name]
+            self._transmits_by_name[name] -= 1
+            if self._transmits_by_name[name] <= 0:
+                del self._transmits_by_name[name]
             rumor = self.directory.rumor(name)
             if rumor is not None and name != self.directory.own.name:
                 rumors.append(rumor)
@@ -307,17 +324,20 @@
         own = membership.services(self.directory.own)
         member = self.directory.member_by_name.get(message.sender.name)
         if not self.directory.tracks_all:
-            # Only those with the same services know the same members.
+            # Digests are comparable only between processes with equal services.
             same = same or member is None
             same = same or membership.services(member.info) != own
-        settling = now - self._news_at < SYNC_SETTLE_TIME
+        settling = now - self._last_gossip < SYNC_SETTLE_TIME
         if same or settling or now < self._next_sync:
             return []
         self._next_sync = now + SYNC_PERIOD
         return [Send(message.sender.control, self._sync_request())]
 
-    def _everything(self, wanted: frozenset[str]) -> list[messages.SyncReply]:
-        """Members that share a wanted service; all where none is named."""
+    def _sync_replies(self, wanted: frozenset[str]) -> list[messages.SyncReply]:
+        """Sync replies with members that share a wanted service.
+
+        All members are included if no service is given.
+        """
         own = self.directory.own
         rumors = [
             messages.Rumor(member.liveness, member.info)
--- a/forklift/membership.py
+++ b/forklift/membership.py
@@ -1,4 +1,4 @@
-"""Who is there: processes and their targets, with incarnations."""
+"""SWIM membership: which processes exist and whether they are alive."""
 
 import dataclasses
 
@@ -8,22 +8,24 @@
 
 Liveness = messages.Liveness
 
+# Seconds until a suspected process that has not refuted counts as dead.
 SUSPICION_TIMEOUT = 3.0
+# Seconds until a dead or departed process is forgotten.
 DEAD_RETENTION = 600.0
-# Processes remembered of a service that has no target here.
+# Members tracked for each service that has no target on this process.
 GATEWAYS_PER_SERVICE = 8
-# Up to this many processes all are kept, whatever services they share: their
-# descriptions are a few hundred bytes each.
+# While fewer members than this are known, all processes are tracked, whether or
+# not they share a service. A description takes a few hundred bytes.
 FULL_MEMBERSHIP_LIMIT = 1024
 
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-    """What is known of one process.
+    """The state of another process.
 
     Attributes:
         info: Its latest description.
-        liveness: How it is seen.
+        liveness: Whether it is alive, as seen here.
         since: Monotonic seconds of the last change of `liveness`.
     """
 
@@ -33,27 +35,28 @@
 
     @property
     def usable(self) -> bool:
-        """Whether requests may be sent to it."""
+        """Whether requests may be sent to this process."""
         return self.liveness <= Liveness.SUSPECT
 
 
 def services(info: messages.ProcessInfo) -> frozenset[str]:
-    """Names of the services that a process has targets of."""
+    """Names of the services that a process has targets for."""
     return frozenset(target.service for target in info.targets)
 
 
 def _newer(info: messages.ProcessInfo, than: messages.ProcessInfo) -> bool:
+    """Whether `info` is a later description of a process than `than`."""
     if info.boot != than.boot:
         return (info.started, info.boot) > (than.started, than.boot)
     return (info.incarnation, info.version) > (than.incarnation, than.version)
 
 
 class Directory:
-    """The processes known here; a set of rules for what overrides what.
+    """The members known to this process, and the rules for merging updates.
 
-    Those that share a service with this process are all kept. Of any other
-    service a few are kept, to hand requests on to. A process that has no
-    target yet keeps a few of every service.
+    All processes that share a service with this one are tracked. Of every other
+    service only a few are tracked, as gateways to forward requests to. A
+    process without targets tracks a few members of every service.
     """
 
     def __init__(
@@ -62,13 +65,17 @@
         self.own = own
         self._full_membership_limit = full_membership_limit
         self.member_by_name: dict[str, Member] = {}
-        # Rises when somebody comes, goes, or changes services.
+        # Rises when a process joins, leaves or changes its services.
         self.generation = 0
         self._changed = {own.name}
         self._digest = 0
 
     def update_own(self, **changes: object) -> messages.ProcessInfo:
-        """Describes this process anew."""
+        """Updates the description of this process.
+
+        Args:
+            **changes: Fields of `messages.ProcessInfo` to replace.
+        """
         version = self.own.version + 1
         fields = {
             name: getattr(self.own, name) for name in self.own.__struct_fields__
@@ -79,20 +86,23 @@
         self._changed.add(self.own.name)
         if services(self.own) != before:
             self.generation += 1
-            self._rescope()
+            self._rebuild_digest()
         return self.own
 
     def apply(
         self, rumor: messages.Rumor, now: float, direct: bool = False
     ) -> bool:
-        """Takes news in; True when it is worth telling others.
+        """Merges an update about a process.
 
-        Figures that every heartbeat renews are taken in, and not told on.
+        Values that each heartbeat refreshes are merged but not propagated.
 
         Args:
-            rumor: The news.
+            rumor: The update.
             now: Monotonic seconds.
-            direct: Whether the process itself tells it.
+            direct: Whether it comes from the process that it describes.
+
+        Returns:
+            Whether the update should be propagated to peers.
         """
         info = rumor.info
         if info.name == self.own.name:
@@ -113,26 +123,26 @@
         info = rumor.info
         known = self.member_by_name.get(info.name)
         if known is None:
-            if rumor.liveness >= Liveness.DEAD or not self._wanted(info):
+            if rumor.liveness >= Liveness.DEAD or not self._should_track(info):
                 return False
             self._set(Member(info, rumor.liveness, now))
             return True
         if info.boot != known.info.boot:
-            # A clock that was set back makes a new run look older; one that
-            # speaks for itself while the other is silent is the newer one.
-            back = direct and known.liveness is not Liveness.ALIVE
-            if not back and not _newer(info, known.info):
+            # A new run looks older if the clock was set back. It is accepted
+            # when it sends messages itself and the known run is not alive.
+            clock_set_back = direct and known.liveness is not Liveness.ALIVE
+            if not clock_set_back and not _newer(info, known.info):
                 return False
             self._set(Member(info, rumor.liveness, now))
             return True
         return self._apply_same_boot(known, rumor, now)
 
     def apply_direct(self, info: messages.ProcessInfo, now: float) -> bool:
-        """A process spoke to us itself, which is news as any other."""
+        """Merges the description that a process sent of itself."""
         return self.apply(messages.Rumor(Liveness.ALIVE, info), now, True)
 
     def mark(self, name: str, liveness: Liveness, now: float) -> bool:
-        """This process sees another one so; True when that is news."""
+        """Records a worse liveness seen here; returns whether it changed."""
         known = self.member_by_name.get(name)
         if known is None or liveness <= known.liveness:
             return False
@@ -140,7 +150,11 @@
         return True
 
     def expire(self, now: float) -> list[messages.Rumor]:
-        """Turns old suspicions into deaths and forgets old deaths."""
+        """Declares old suspects dead and forgets old dead members.
+
+        Returns:
+            The new deaths, to be propagated.
+        """
         news = []
         for name, member in list(self.member_by_name.items()):
             age = now - member.since
@@ -152,7 +166,7 @@
         return news
 
     def rumor(self, name: str) -> messages.Rumor | None:
-        """What is known of a process, as news for others."""
+        """The state of a process as an update for peers; None if unknown."""
         if name == self.own.name:
             return messages.Rumor(Liveness.ALIVE, self.own)
         member = self.member_by_name.get(name)
@@ -166,7 +180,7 @@
         return [self.own, *others]
 
     def alive(self) -> list[str]:
-        """Names of others that are not suspected, in order."""
+        """Names of the other processes that are not suspected, sorted."""
         return sorted(
             name
             for name, member in self.member_by_name.items()
@@ -174,11 +188,11 @@
         )
 
     def digest(self) -> int:
-        """Equal on two processes that know the same."""
+        """Hash of the known state; equal on two processes in sync."""
         return self._digest ^ _hash(Liveness.ALIVE, self.own)
 
     def gossips_with(self, info: messages.ProcessInfo) -> bool:
-        """Whether a process is told news of, and tells ours."""
+        """Whether this process exchanges updates with another."""
         if self.tracks_all:
             return True
         own = services(self.own)
@@ -186,10 +200,11 @@
 
     @property
     def tracks_all(self) -> bool:
-        """Whether all processes are kept, as there are few."""
+        """Whether all processes are tracked because the fleet is small."""
         return len(self.member_by_name) < self._full_membership_limit
 
-    def _wanted(self, info: messages.ProcessInfo) -> bool:
+    def _should_track(self, info: messages.ProcessInfo) -> bool:
+        """Whether a process that is not known yet should be tracked."""
         if self.tracks_all:
             return True
         own = services(self.own)
@@ -224,6 +239,7 @@
         return True
 
     def _refute(self, rumor: messages.Rumor) -> bool:
+        """Refutes a suspicion of this process with a higher incarnation."""
         same_boot = rumor.info.boot == self.own.boot
         if rumor.liveness is Liveness.ALIVE or not same_boot:
             return False
@@ -233,7 +249,7 @@
         return True
 
     def take_changes(self) -> list[tuple[str, messages.ProcessInfo | None]]:
-        """Names whose news was not taken yet; None for one not usable."""
+        """Members changed since the last call; None if not usable."""
         changed, self._changed = self._changed, set()
         return [(name, self._usable_info(name)) for name in changed]
 
@@ -248,41 +264,42 @@
         old = self.member_by_name.get(name)
         self.member_by_name[name] = member
         self._changed.add(name)
-        self._digest ^= self._part(member)
+        self._digest ^= self._member_hash(member)
         if old is not None:
-            self._digest ^= self._part(old)
-        if old is None or _differs(old, member):
+            self._digest ^= self._member_hash(old)
+        if old is None or _affects_generation(old, member):
             self.generation += 1
 
     def _forget(self, name: str) -> None:
         old = self.member_by_name.pop(name, None)
         if old is not None:
-            self._digest ^= self._part(old)
+            self._digest ^= self._member_hash(old)
         self._changed.add(name)
         self.generation += 1
 
-    def _part(self, member: Member) -> int:
+    def _member_hash(self, member: Member) -> int:
+        """What a member adds to the digest; 0 if it is out of scope."""
         if self._full_membership_limit == 0 and services(self.own).isdisjoint(
             services(member.info)
         ):
             return 0
         return _hash(member.liveness, member.info)
 
-    def _rescope(self) -> None:
-        """The own services changed: the digest covers other members now."""
+    def _rebuild_digest(self) -> None:
+        """Recomputes the digest after the services of this process changed."""
         self._digest = 0
         for member in self.member_by_name.values():
-            self._digest ^= self._part(member)
+            self._digest ^= self._member_hash(member)
 
 
-def _differs(old: Member, new: Member) -> bool:
+def _affects_generation(old: Member, new: Member) -> bool:
     if old.usable != new.usable:
         return True
     return services(old.info) != services(new.info)
 
 
 def _hash(liveness: Liveness, info: messages.ProcessInfo) -> int:
-    # Figures that every heartbeat renews are no difference worth a sync.
+    # Excludes values that each heartbeat refreshes; they need no sync.
     states = sum(target.version for target in info.targets)
     parts = (info.name, info.boot, info.incarnation, states, int(liveness))
     text = str(parts)
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is there, and what overrides what."""
+"""Membership: which updates override others, and how gossip spreads them."""
 
 import random
 
@@ -10,7 +10,7 @@
 Liveness = messages.Liveness
 
 
-def made() -> membership.Directory:
+def new_directory() -> membership.Directory:
     return membership.Directory(
         helper.info("own"), membership.FULL_MEMBERSHIP_LIMIT
     )
@@ -20,88 +20,88 @@
     return messages.Rumor(liveness, helper.info("a", **changes))
 
 
-def test_a_process_without_targets_is_kept_as_well():
-    known = made()
-    assert known.apply(rumor(), 0.0)
-    assert "a" in known.member_by_name
+def test_process_without_targets_is_tracked():
+    directory = new_directory()
+    assert directory.apply(rumor(), 0.0)
+    assert "a" in directory.member_by_name
 
 
-def test_a_new_run_whose_clock_was_set_back_speaks_for_itself():
-    known = made()
-    known.apply(rumor(boot=1, started=100.0), 0.0)
+def test_new_run_with_earlier_clock_is_accepted_after_suspicion():
+    directory = new_directory()
+    directory.apply(rumor(boot=1, started=100.0), 0.0)
     back = helper.info("a", boot=2, started=98.0)
-    assert not known.apply_direct(back, 1.0)
-    known.mark("a", Liveness.SUSPECT, 2.0)
-    assert known.apply_direct(back, 3.0)
-    assert known.member_by_name["a"].info.boot == 2
+    assert not directory.apply_direct(back, 1.0)
+    directory.mark("a", Liveness.SUSPECT, 2.0)
+    assert directory.apply_direct(back, 3.0)
+    assert directory.member_by_name["a"].info.boot == 2
 
 
-def test_old_news_of_an_earlier_run_overrides_nothing():
-    known = made()
-    known.apply(rumor(boot=2, started=100.0), 0.0)
-    known.mark("a", Liveness.SUSPECT, 1.0)
-    assert not known.apply(rumor(boot=1, started=50.0), 2.0)
-    assert known.member_by_name["a"].info.boot == 2
+def test_rumor_about_an_earlier_run_is_ignored():
+    directory = new_directory()
+    directory.apply(rumor(boot=2, started=100.0), 0.0)
+    directory.mark("a", Liveness.SUSPECT, 1.0)
+    assert not directory.apply(rumor(boot=1, started=50.0), 2.0)
+    assert directory.member_by_name["a"].info.boot == 2
 
 
-def test_a_process_taken_for_dead_is_asked_whether_it_is_back():
-    known = made()
-    known.apply(rumor(), 0.0)
-    talk = gossip.Gossip(known, random.Random(1))
-    known.mark("a", Liveness.DEAD, 1.0)
-    asked = [send.address for send in talk.tick(2.0)]
-    assert asked == ["a"]
+def test_dead_member_is_pinged():
+    directory = new_directory()
+    directory.apply(rumor(), 0.0)
+    sender = gossip.Gossip(directory, random.Random(1))
+    directory.mark("a", Liveness.DEAD, 1.0)
+    addresses = [send.address for send in sender.tick(2.0)]
+    assert addresses == ["a"]
 
 
-def test_news_that_comes_together_is_told_together():
-    known = made()
-    talk = gossip.Gossip(known, random.Random(1))
+def test_simultaneous_rumors_are_batched():
+    directory = new_directory()
+    sender = gossip.Gossip(directory, random.Random(1))
     for number in range(10):
         info = helper.info(f"n{number}")
-        known.apply(messages.Rumor(Liveness.ALIVE, info), 0.0)
-        talk.queue_rumor(info.name)
-    told = talk.tick(100.0)
-    pings = [s for s in told if isinstance(s.message, messages.Ping)]
+        directory.apply(messages.Rumor(Liveness.ALIVE, info), 0.0)
+        sender.queue_rumor(info.name)
+    sends = sender.tick(100.0)
+    pings = [s for s in sends if isinstance(s.message, messages.Ping)]
     assert len(pings) <= gossip.FAN_OUT + 1
     assert max(len(ping.message.rumors) for ping in pings) >= 9
 
 
-def test_news_reaches_every_domain_though_it_is_mostly_told_nearby():
+def test_rumor_reaches_all_domains_with_mostly_local_traffic():
     infos = {
         f"{domain}{number}": helper.info(f"{domain}{number}", domain=domain)
         for domain in "xyz"
         for number in range(8)
     }
 
-    def knows(talk: gossip.Gossip) -> bool:
-        member = talk.directory.member_by_name.get("x0")
+    def knows(sender: gossip.Gossip) -> bool:
+        member = sender.directory.member_by_name.get("x0")
         return member is None or bool(member.info.targets)
 
     rng = random.Random(1)
-    talk_by_name = {}
+    gossip_by_name = {}
     for name, own in infos.items():
-        known = membership.Directory(own, membership.FULL_MEMBERSHIP_LIMIT)
+        directory = membership.Directory(own, membership.FULL_MEMBERSHIP_LIMIT)
         for other in infos.values():
             if other is not own:
-                known.apply(messages.Rumor(Liveness.ALIVE, other), 0.0)
-        talk_by_name[name] = gossip.Gossip(known, rng)
-    first = talk_by_name["x0"]
+                directory.apply(messages.Rumor(Liveness.ALIVE, other), 0.0)
+        gossip_by_name[name] = gossip.Gossip(directory, rng)
+    first = gossip_by_name["x0"]
     first.directory.update_own(targets=(helper.target_info("t"),))
     first.queue_rumor("x0")
-    far_by_step = []
+    remote_by_step = []
     for step in range(400):
         now = 10.0 + step * gossip.GOSSIP_PERIOD
         sent = [
             (name, send)
-            for name, talk in talk_by_name.items()
-            for send in talk.tick(now)
+            for name, sender in gossip_by_name.items()
+            for send in sender.tick(now)
         ]
         for _, send in sent:
-            talk_by_name[send.address].receive(send.message, now)
-        far_by_step.append([name[0] != s.address[0] for name, s in sent])
-        if all(knows(talk) for talk in talk_by_name.values()):
+            gossip_by_name[send.address].receive(send.message, now)
+        remote_by_step.append([name[0] != s.address[0] for name, s in sent])
+        if all(knows(sender) for sender in gossip_by_name.values()):
             break
-    assert all(knows(talk) for talk in talk_by_name.values())
-    # The first step also has the ping that each sends once a second.
-    news = [far for step in far_by_step[1:6] for far in step]
-    assert sum(news) < len(news) / 2
+    assert all(knows(sender) for sender in gossip_by_name.values())
+    # The first step also includes the periodic pings.
+    remote = [is_remote for step in remote_by_step[1:6] for is_remote in step]
+    assert sum(remote) < len(remote) / 2
