--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -1,15 +1,15 @@
-"""Decides how a configuration reaches processes that the store does not tell.
-
-The store tells most processes within milliseconds, and nobody knows whom it
-leaves out: a read that is never answered looks like one that waits. So each
-process has a few watchers, those before it on a ring of all processes, and
-tells them which version it took. A watcher that hears of none offers its own
-until the other confirms, and who hears that a newer version exists fetches it.
-None of this waits for a regular heartbeat, or for a connection to work: what
-stays unanswered is sent again over new connections, both ways.
-
-As each process is watched by the one before it, a version reaches all as long
-as one has it; the farther watchers make the way short.
+"""Peer-to-peer dissemination of configuration versions.
+
+The store notifies most processes within milliseconds, but a read that never
+returns looks like one that still waits. Each process therefore also learns of
+new versions from peers. All processes form a ring; a process reports each
+version that it loads to its predecessors and announces it to its successors
+until they confirm it. One that learns of a newer version fetches it.
+
+This depends neither on heartbeats nor on existing connections: messages without
+a reply are sent again over new connections in both directions. As each process
+is the nearest successor of another, a version reaches every process once one
+has it; the more distant successors shorten the path.
 """
 
 import collections
@@ -24,50 +24,49 @@
 from forklift import rendezvous
 from forklift import store_readers
 
-# Places on the ring between a process and its watchers. Each further one halves
-# the share of processes none of whose watchers has a version.
+# Ring positions between a process and the peers that announce versions to it.
+# With several peers it is unlikely that none of them has a version.
 RING_DISTANCES = (1, 2, 4, 8)
-# Seconds for which a version is left to the store before peers hand it on: many
-# times what the store takes to tell all, an eighth of the users' bound.
+# Seconds that the store has to deliver a version before peers step in. Much
+# longer than the store takes, and well within the bound for all processes.
 PEER_FALLBACK_DELAY = 0.25
-# Seconds until an unanswered message is sent again, at first and at most; after
-# a few tries it doubles. Where one message in ten is lost, four tries in a row
-# are in vain once in a thousand. The longest is within the bound of users, so
-# that a process whose links come back is not behind for longer.
+# Initial and longest seconds between retries. The delay stays constant for a
+# few retries, which covers lost messages, and then doubles. The limit keeps a
+# process from lagging for long after its connections recover.
 RETRY_INITIAL = 0.25
 RETRY_MAX = 2.0
 RETRIES_BEFORE_BACKOFF = 3
-# Versions of which it is remembered since when they were in force somewhere.
-HISTORY = 64
+# Number of recent versions whose activation times are kept.
+VERSION_HISTORY = 64
 _RING = "ring"
 
 
-class _Tries:
-    """When something unanswered is sent again."""
+class _Retries:
+    """Schedules retries with exponential backoff."""
 
     def __init__(self):
         self.count = 0
         self._next = -math.inf
 
     def due(self, now: float) -> bool:
-        """Whether it is time for another try."""
+        """Whether the next attempt is due."""
         return now >= self._next
 
-    def note(self, now: float) -> None:
-        """It was sent."""
+    def record(self, now: float) -> None:
+        """Records an attempt and schedules the next."""
         doubled = max(0, self.count - RETRIES_BEFORE_BACKOFF)
-        pause = min(RETRY_MAX, RETRY_INITIAL * 2**doubled)
-        self._next = now + pause
+        delay = min(RETRY_MAX, RETRY_INITIAL * 2**doubled)
+        self._next = now + delay
         self.count += 1
 
 
 @dataclasses.dataclass(frozen=True)
-class _Said:
-    """What a process said of itself last.
+class _Reported:
+    """The version that a process last reported.
 
     Attributes:
-        boot: Its run.
-        version: The version that it has in force.
+        boot: Identity of the run of the process.
+        version: Its active version.
     """
 
     boot: int
@@ -81,109 +80,116 @@
     Attributes:
         address: Its control address.
         version: The version.
-        born: Since when the version has been in force there, monotonic seconds
+        active_since: When the version became active there, in monotonic seconds
             of this process.
-        again: Whether an earlier word of it was not answered, so that the way
-            to it may be silent.
+        is_retry: Whether the peer sent an earlier message that got no reply, so
+            that the connection to it may be broken.
     """
 
     address: str
     version: int
-    born: float
-    again: bool = False
+    active_since: float
+    is_retry: bool = False
 
 
 class Dissemination:
-    """What one process tells its peers of the version that it has in force."""
+    """Exchanges configuration versions with peers."""
 
     def __init__(
         self,
         directory: membership.Directory,
         active_catalog: catalog.ActiveCatalog,
-        reading: store_readers.StoreReaders,
+        readers: store_readers.StoreReaders,
     ):
         self._directory = directory
-        self._reading = reading
+        self._readers = readers
         self._active_catalog = active_catalog
-        self._told = active_catalog.catalog.version
-        # Versions, and since when each has been in force at any process that
-        # this one heard of, the last ones.
-        self._born: collections.deque[tuple[int, float]] = collections.deque(
-            maxlen=HISTORY
+        self._last_reported = active_catalog.catalog.version
+        # Recent versions, and when each was first active on any known process.
+        self._first_active: collections.deque[tuple[int, float]] = (
+            collections.deque(maxlen=VERSION_HISTORY)
         )
-        self._said_by_name: dict[str, _Said] = {}
-        self._tries_by_name: dict[str, _Tries] = {}
+        self._reported_by_name: dict[str, _Reported] = {}
+        self._retries_by_name: dict[str, _Retries] = {}
         self._holder_by_name: dict[str, _Holder] = {}
-        self._asking = _Tries()
+        self._request_retries = _Retries()
         self._ring: list[str] = []
-        self._ring_of = -1
+        self._ring_generation = -1
 
     @property
     def _version(self) -> int:
         return self._active_catalog.catalog.version
 
     def tick(self, now: float) -> list[gossip.Send]:
-        """Lets time pass."""
-        sends = self._tell(now)
-        sends += self._hand_on(now)
-        return sends + self._ask(now)
+        """Returns the messages that are due."""
+        sends = self._report_to_predecessors(now)
+        sends += self._announce_to_successors(now)
+        return sends + self._request_newer(now)
 
     def is_active(self, now: float) -> bool:
-        """Whether versions are being handed on, or were a moment ago."""
-        if self._holder_by_name or self._tries_by_name:
+        """Whether versions are being exchanged, or were until recently."""
+        if self._holder_by_name or self._retries_by_name:
             return True
-        if self._told != self._version:
+        if self._last_reported != self._version:
             return True
         return (
-            bool(self._born)
-            and now - self._born[-1][1] < 2 * PEER_FALLBACK_DELAY
+            bool(self._first_active)
+            and now - self._first_active[-1][1] < 2 * PEER_FALLBACK_DELAY
         )
 
     def observe(
         self, info: messages.ProcessInfo, now: float
     ) -> list[gossip.Send]:
-        """A process described itself, in a heartbeat or when it joined."""
-        self._note(info.name, _Said(info.boot, info.config))
+        """Handles the description in a heartbeat or a join."""
+        self._record_report(info.name, _Reported(info.boot, info.config))
         if info.config > self._version:
             holder = _Holder(info.control, info.config, now)
-            self._newer(info.name, holder)
-            return self._ask(now)
-        left_for = self._left_to_store(info.name)
-        if info.config and not self._late(info.config, now, left_for):
+            self._record_holder(info.name, holder)
+            return self._request_newer(now)
+        store_delay = self._store_delay(info.name)
+        if info.config and not self._is_overdue(info.config, now, store_delay):
             return []
         if info.config == self._version:
             return []
-        return [gossip.Send(info.control, self._own(now))]
+        return [gossip.Send(info.control, self._version_message(now))]
 
     def receive(
         self,
         message: messages.CatalogVersion | messages.CatalogRequest,
         now: float,
     ) -> list[gossip.Send]:
-        """A peer told its version, or asks for ours."""
+        """Handles a version report or a request from a peer."""
         name, address = message.sender.name, message.sender.control
-        self._note(name, _Said(message.boot, message.version))
+        self._record_report(name, _Reported(message.boot, message.version))
         if isinstance(message, messages.CatalogRequest):
             return self._answer(message, now)
         if message.version > self._version:
-            born = now - message.age
-            holder = _Holder(address, message.version, born, message.is_retry)
-            self._newer(name, holder)
-            return self._ask(now)
-        left_for = self._left_to_store(name)
-        if message.confirm or self._late(message.version, now, left_for):
-            return [gossip.Send(address, self._own(now), message.is_retry)]
+            active_since = now - message.age
+            holder = _Holder(
+                address, message.version, active_since, message.is_retry
+            )
+            self._record_holder(name, holder)
+            return self._request_newer(now)
+        store_delay = self._store_delay(name)
+        if message.confirm or self._is_overdue(
+            message.version, now, store_delay
+        ):
+            return [
+                gossip.Send(
+                    address, self._version_message(now), message.is_retry
+                )
+            ]
         return []
 
     def record_offer(self, offer: messages.CatalogOffer, now: float) -> None:
-        """A peer hands its version over; it is taken right after."""
+        """Records who offered a version, before the version is loaded."""
         holder = _Holder(offer.sender.control, offer.version, now - offer.age)
-        self._newer(offer.sender.name, holder)
+        self._record_holder(offer.sender.name, holder)
 
-    # What this process tells.
+    # Sending.
 
-    def _own(
-        self, now: float, confirm: bool = False, again: bool = False
+    def _version_message(
+        self, now: float, confirm: bool = False, is_retry: bool = False
     ) -> messages.CatalogVersion:
         return messages.CatalogVersion(
             messages.sender_of(self._directory.own),
@@ -191,46 +197,50 @@
             self._version,
             self._age(now),
             confirm,
-            again,
+            is_retry,
         )
 
-    def _tell(self, now: float) -> list[gossip.Send]:
-        """Tells its watchers once that this process took a version."""
-        if self._told == self._version:
+    def _report_to_predecessors(self, now: float) -> list[gossip.Send]:
+        """Reports a newly loaded version to the predecessors, once."""
+        if self._last_reported == self._version:
             return []
-        self._told = self._version
-        self._took(now)
-        version = self._own(now)
+        self._last_reported = self._version
+        self._record_loaded(now)
+        version = self._version_message(now)
         return [
             gossip.Send(self._address(name), version)
             for name in self._at_distances(-1)
         ]
 
-    def _took(self, now: float) -> None:
-        born = now
+    def _record_loaded(self, now: float) -> None:
+        active_since = now
         for name, holder in list(self._holder_by_name.items()):
             if holder.version == self._version:
-                born = min(born, holder.born)
+                active_since = min(active_since, holder.active_since)
             if holder.version <= self._version:
                 del self._holder_by_name[name]
-        self._born.append((self._version, born))
-        self._asking = _Tries()
+        self._first_active.append((self._version, active_since))
+        self._request_retries = _Retries()
 
-    def _hand_on(self, now: float) -> list[gossip.Send]:
-        """Tells those that it watches, until they confirm."""
+    def _announce_to_successors(self, now: float) -> list[gossip.Send]:
+        """Announces the version to successors until they confirm it."""
         sends = []
         for name in self.successors():
-            left_for = self._left_to_store(name)
-            if not self._late(self._said(name), now, left_for):
-                self._tries_by_name.pop(name, None)
+            store_delay = self._store_delay(name)
+            if not self._is_overdue(
+                self._reported_version(name), now, store_delay
+            ):
+                self._retries_by_name.pop(name, None)
                 continue
-            tries = self._tries_by_name.setdefault(name, _Tries())
-            if not tries.due(now):
+            retries = self._retries_by_name.setdefault(name, _Retries())
+            if not retries.due(now):
                 continue
-            again = tries.count > 0
-            tries.note(now)
-            version = self._own(now, confirm=True, again=again)
-            sends.append(gossip.Send(self._address(name), version, again))
+            is_retry = retries.count > 0
+            retries.record(now)
+            version = self._version_message(
+                now, confirm=True, is_retry=is_retry
+            )
+            sends.append(gossip.Send(self._address(name), version, is_retry))
         return sends
 
     def _answer(
@@ -247,117 +257,123 @@
         )
         return [gossip.Send(request.sender.control, offer, request.is_retry)]
 
-    # What this process lacks.
+    # Fetching.
 
-    def _newer(self, name: str, holder: _Holder) -> None:
-        """A peer has a newer version; the store may be about to bring it."""
+    def _record_holder(self, name: str, holder: _Holder) -> None:
+        """Records a peer that has a newer version."""
         known = self._holder_by_name.get(name)
         if known is not None:
-            # It has had something newer since then.
-            born = min(holder.born, known.born)
-            holder = dataclasses.replace(holder, born=born)
+            # Keeps the time since when it has had any newer version.
+            active_since = min(holder.active_since, known.active_since)
+            holder = dataclasses.replace(holder, active_since=active_since)
         self._holder_by_name[name] = holder
 
-    def _ask(self, now: float) -> list[gossip.Send]:
-        """Asks one of those that have a newer version, each time another."""
-        if not self._holder_by_name or not self._asking.due(now):
+    def _request_newer(self, now: float) -> list[gossip.Send]:
+        """Requests the version from one of its holders, in rotation."""
+        if not self._holder_by_name or not self._request_retries.due(now):
             return []
-        since = min(one.born for one in self._holder_by_name.values())
-        left_for = self._left_to_store(self._directory.own.name)
-        if self._version and now - since < left_for:
+        since = min(one.active_since for one in self._holder_by_name.values())
+        store_delay = self._store_delay(self._directory.own.name)
+        if self._version and now - since < store_delay:
             return []
         name, holder = next(iter(self._holder_by_name.items()))
         del self._holder_by_name[name]
         self._holder_by_name[name] = holder
-        again = self._asking.count > 0 or holder.again
-        self._asking.note(now)
+        is_retry = self._request_retries.count > 0 or holder.is_retry
+        self._request_retries.record(now)
         own = self._directory.own
         request = messages.CatalogRequest(
-            messages.sender_of(own), own.boot, self._version, again
+            messages.sender_of(own), own.boot, self._version, is_retry
         )
-        return [gossip.Send(holder.address, request, again)]
+        return [gossip.Send(holder.address, request, is_retry)]
 
-    # What is known of peers.
+    # Peers.
 
-    def _note(self, name: str, said: _Said) -> None:
-        """Keeps what a process said last.
+    def _record_report(self, name: str, reported: _Reported) -> None:
+        """Records the version that a process reported.
 
-        A new run may have less; a word of an earlier one may come late.
+        Reports of earlier runs are ignored. A new run may have an older version
+        than the one before.
         """
         member = self._directory.member_by_name.get(name)
-        if member is None or member.info.boot != said.boot:
+        if member is None or member.info.boot != reported.boot:
             return
-        if self._said_by_name.get(name) != said:
-            self._tries_by_name.pop(name, None)
-        self._said_by_name[name] = said
+        if self._reported_by_name.get(name) != reported:
+            self._retries_by_name.pop(name, None)
+        self._reported_by_name[name] = reported
 
-    def _said(self, name: str) -> int:
+    def _reported_version(self, name: str) -> int:
         info = self._directory.member_by_name[name].info
-        said = self._said_by_name.get(name)
-        if said is None or said.boot != info.boot:
+        reported = self._reported_by_name.get(name)
+        if reported is None or reported.boot != info.boot:
             return info.config
-        return said.version
+        return reported.version
 
-    def _late(
+    def _is_overdue(
         self, version: int, now: float, after: float = PEER_FALLBACK_DELAY
     ) -> bool:
-        """Whether one with a version should have had a newer one by now.
+        """Whether a process with a version should have received a newer one.
 
-        Counted from the first newer one: in a quick succession of versions the
-        last is always young.
+        The time counts from the first newer version. If versions follow each
+        other quickly, the latest one is always recent.
 
         Args:
-            version: The version it has.
+            version: The version that the process has.
             now: Monotonic seconds.
-            after: Seconds for which a version is left to the store.
+            after: Seconds that the store has to deliver a version.
         """
-        for newer, born in self._born:
+        for newer, active_since in self._first_active:
             if newer > version:
-                return now - born >= after
+                return now - active_since >= after
         return False
 
-    def _left_to_store(self, name: str) -> float:
-        """Seconds for which a version is left to the store to tell somebody.
+    def _store_delay(self, name: str) -> float:
+        """Seconds that the store has to deliver a version to a process.
 
-        It tells only those that wait there.
+        The store notifies readers only; others depend on peers at once.
         """
-        return PEER_FALLBACK_DELAY if self._reading.includes(name) else 0.0
+        return PEER_FALLBACK_DELAY if self._readers.includes(name) else 0.0
 
     def _age(self, now: float) -> float:
-        """Seconds for which the version in force has been known anywhere."""
-        for version, born in reversed(self._born):
+        """Seconds since the active version was first active anywhere."""
+        for version, active_since in reversed(self._first_active):
             if version == self._version:
-                return round(now - born, 3)
+                return round(now - active_since, 3)
         return 0.0
 
     # The ring.
 
     def successors(self) -> list[str]:
-        """Processes to which this one hands versions on, the nearest first."""
+        """Processes that this one announces versions to, nearest first."""
         return self._at_distances(1)
 
     def _at_distances(self, direction: int) -> list[str]:
-        """Processes at the distances, after this one or before it."""
-        if self._ring_of != self._directory.generation:
-            self._ring_of = self._directory.generation
-            self._ring = self._order()
+        """Processes at the ring distances; direction 1 is after, -1 before."""
+        if self._ring_generation != self._directory.generation:
+            self._ring_generation = self._directory.generation
+            self._ring = self._ring_order()
             self._forget()
         size = len(self._ring)
         own = self._ring.index(self._directory.own.name)
-        places = [direction * far for far in RING_DISTANCES if far < size]
+        places = [
+            direction * distance
+            for distance in RING_DISTANCES
+            if distance < size
+        ]
         return [self._ring[(own + place) % size] for place in places]
 
     def _forget(self) -> None:
-        """Keeps nothing of processes that are not known any more."""
-        for by_name in (self._said_by_name, self._tries_by_name):
+        """Drops the state of processes that left the directory."""
+        for by_name in (self._reported_by_name, self._retries_by_name):
             for name in set(by_name) - set(self._directory.member_by_name):
                 del by_name[name]
 
-    def _order(self) -> list[str]:
-        """Processes in an order that says nothing of where they are.
+    def _ring_order(self) -> list[str]:
+        """The order of processes on the ring.
 
-        Neighbours by name share a failure domain, and what the store does not
-        reach. Only those that all know each other are on one ring.
+        Hashing spreads a failure domain over the ring, as its processes may
+        lose the store together. Only processes that all track each other are on
+        one ring.
         """
         names = [
             name
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -1,10 +1,7 @@
-"""Every process has each version in time, also those no store answers.
+"""Every process activates each configuration version within the time bound.
 
-A version was acknowledged at 25.04 s, and at 27.09 s a process still refused
-with 404 a path that it had brought; another was 2.36 s behind. The store told
-the others within 2 ms and told these nothing, without a sign: their reads of it
-hung. A peer handed a version on only to who pinged it, once a second, and only
-0.7 s after it had it; half of the peers were behind themselves.
+Guards against reads at the store that hang without an error, and against peers
+that push a version too late.
 """
 
 import pytest
@@ -19,23 +16,23 @@
 from test import fleet
 from test import helper
 
-# Seconds by which a version must be in force; the users allow 2 s, and a second
-# of them is left for what a busy instance adds.
-IN_FORCE_WITHIN = 1.0
-# The same where connections fall silent at the moment of a version: each hop
-# pays for a message that is lost.
-AT_THAT_MOMENT = 1.5
+# Seconds within which a version must be active. The bound is 2 s; the rest
+# allows for delays on a busy instance.
+ACTIVE_WITHIN = 1.0
+# The same if connections break just as a version appears, so that each hop
+# loses a message.
+ACTIVE_WITHIN_AFTER_BREAK = 1.5
 PROCESSES = 31
 
 
-def behind(found: fleet.Fleet) -> dict[tuple[str, int], float]:
-    """Who was behind which version for too long, and for how long."""
+def lagging(found: fleet.Fleet) -> dict[tuple[str, int], float]:
+    """Lag by process and version where it exceeds the bound."""
     lags = found.lags()
-    return {key: lag for key, lag in lags.items() if lag > IN_FORCE_WITHIN}
+    return {key: lag for key, lag in lags.items() if lag > ACTIVE_WITHIN}
 
 
 def settled(seed: int = 1) -> fleet.Fleet:
-    """A fleet that has its first version."""
+    """Creates a fleet that has activated its first version."""
     found = fleet.Fleet(PROCESSES, seed)
     found.publish(1)
     found.run(3.0)
@@ -43,7 +40,7 @@
 
 
 def deafen(found: fleet.Fleet, share: float) -> None:
-    """The store answers nothing more to a share of the processes."""
+    """Makes the store stop answering a share of the processes."""
     names = sorted(found.node_by_name)
     for name in found.rng.sample(names, round(share * len(names))):
         found.node_by_name[name].deaf = True
@@ -51,18 +48,18 @@
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("share", [1 / 3, 1 / 2, 0.9])
-def test_who_hears_nothing_of_the_store_has_each_version_in_time(seed, share):
+def test_processes_without_store_reads_get_versions_in_time(seed, share):
     found = settled(seed)
     deafen(found, share)
     for version in range(2, 8):
         found.publish(version)
         found.run(2.1)
-    assert behind(found) == {}
+    assert lagging(found) == {}
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_version_is_in_force_in_time_though_connections_fell_silent(seed):
-    """What was sent over them was lost for as long as they were kept."""
+def test_versions_spread_in_time_after_connections_break(seed):
+    """Messages sent over the broken connections are lost."""
     found = settled(seed)
     deafen(found, 1 / 2)
     found.fall_silent()
@@ -70,13 +67,13 @@
     for version in range(2, 8):
         found.publish(version)
         found.run(2.1)
-    assert behind(found) == {}
+    assert lagging(found) == {}
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("share", [1 / 2, 0.9])
-def test_a_version_is_in_force_in_time_as_connections_fall_silent(seed, share):
-    """At that very moment nothing has been sent again yet."""
+def test_versions_spread_in_time_while_connections_break(seed, share):
+    """No retry over a new connection has happened yet at that moment."""
     found = settled(seed)
     deafen(found, share)
     for version in range(2, 8):
@@ -84,22 +81,22 @@
         found.publish(version)
         found.run(2.1)
     lags = found.lags().values()
-    assert max(lags) <= AT_THAT_MOMENT
+    assert max(lags) <= ACTIVE_WITHIN_AFTER_BREAK
 
 
-def test_versions_that_follow_quickly_leave_nobody_behind():
+def test_versions_in_quick_succession_reach_all_processes():
     found = settled()
     deafen(found, 1 / 2)
     for version in range(2, 40):
         found.publish(version)
         found.run(0.1)
     found.run(2.0)
-    assert behind(found) == {}
+    assert lagging(found) == {}
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_one_that_starts_while_the_store_is_silent_begins_with_the_newest(seed):
-    """It knows nobody, and half of those that find it are behind themselves."""
+def test_process_that_starts_without_store_gets_the_latest_version(seed):
+    """It knows no peers, and half of those that find it lag as well."""
     found = settled(seed)
     found.cut.add("p3")
     del found.node_by_name["p3"]
@@ -111,18 +108,18 @@
     for version in range(2, 7):
         found.publish(version)
         found.run(0.5)
-    found.run(gossip.DEAD_PING_PERIOD + IN_FORCE_WITHIN)
+    found.run(gossip.DEAD_PING_PERIOD + ACTIVE_WITHIN)
     first = min(
         at
         for (name, _), at in found.taken.items()
         if name == "p3" and at > started
     )
-    assert first - started <= gossip.DEAD_PING_PERIOD + IN_FORCE_WITHIN
+    assert first - started <= gossip.DEAD_PING_PERIOD + ACTIVE_WITHIN
     assert found.node_by_name["p3"].version == 6
-    assert {key for key in behind(found) if key[0] != "p3"} == set()
+    assert {key for key in lagging(found) if key[0] != "p3"} == set()
 
 
-def test_one_that_was_cut_off_is_not_behind_for_long():
+def test_partitioned_process_catches_up_soon():
     found = settled()
     found.node_by_name["p3"].deaf = True
     found.cut.add("p3")
@@ -134,8 +131,8 @@
     assert found.node_by_name["p3"].version == 2
 
 
-def test_nothing_is_sent_again_once_all_have_a_version():
-    """What is told of a version is told once where the store told all."""
+def test_confirmed_version_is_not_sent_again():
+    """Each version is reported once if the store notifies every process."""
     found = settled()
     before = found.count_by_kind.copy()
     found.publish(2)
@@ -147,7 +144,7 @@
 
 
 class Rig:
-    """One process among others, and what it sends them."""
+    """A process with peers that records what it sends."""
 
     def __init__(self, *others: str, version: int = 1):
         self.now = 100.0
@@ -165,12 +162,12 @@
         self.take(version)
 
     def hear(self, name: str, boot: int = 1, config: int = 0) -> None:
-        """Another process is known to have a version."""
+        """Lets a peer send its description."""
         info = helper.info(name, boot=boot, config=config, started=float(boot))
         self.directory.apply_direct(info, self.now)
 
     def take(self, version: int) -> list[gossip.Send]:
-        """A version comes into force here."""
+        """Activates a version."""
         found = catalog.Catalog(
             version, routing.Table(()), {}, catalog.DEFAULT_LIMITS, b"record"
         )
@@ -178,12 +175,12 @@
         return self.tick()
 
     def tick(self, after: float = 0.0) -> list[gossip.Send]:
-        """Lets time pass."""
+        """Advances the clock and returns what is sent."""
         self.now += after
         return self.decisions.tick(self.now)
 
     def next_sends(self) -> list[gossip.Send]:
-        """Lets time pass until something is sent, a minute at most."""
+        """Advances the clock until something is sent, by a minute at most."""
         for _ in range(1200):
             sends = self.tick(0.05)
             if sends:
@@ -191,7 +188,7 @@
         return sends
 
     def told(self, name: str, version: int, **fields) -> list[gossip.Send]:
-        """Another process tells its version."""
+        """Lets a peer report its version."""
         sender = messages.Sender(name, name)
         fields = {"boot": 1, "age": 0.0, **fields}
         message = messages.CatalogVersion(sender, version=version, **fields)
@@ -200,7 +197,7 @@
     def asked(
         self, name: str, version: int, is_retry: bool
     ) -> list[gossip.Send]:
-        """Another process asks for a newer version."""
+        """Lets a peer request a newer version."""
         sender = messages.Sender(name, name)
         request = messages.CatalogRequest(sender, 1, version, is_retry)
         return self.decisions.receive(request, self.now)
@@ -210,7 +207,7 @@
     return [type(send.message).__name__ for send in sends]
 
 
-def test_what_is_not_confirmed_is_sent_again_over_new_connections():
+def test_unconfirmed_version_is_retried_over_new_connections():
     rig = Rig("peer")
     rig.take(2)
     assert rig.tick(dissemination.PEER_FALLBACK_DELAY - 0.01) == []
@@ -230,7 +227,7 @@
     assert rig.tick(60.0) == []
 
 
-def test_one_after_the_other_is_asked_over_new_connections():
+def test_holders_are_asked_in_rotation_over_new_connections():
     rig = Rig("a", "b")
     assert rig.told("a", 2) == rig.told("b", 2) == []
     asked = [send for _ in range(4) for send in rig.next_sends()]
@@ -250,7 +247,7 @@
     assert rig.tick(60.0) == []
 
 
-def test_what_comes_again_is_answered_over_a_new_connection():
+def test_retries_are_answered_over_a_new_connection():
     rig = Rig("peer", version=2)
     (answer,) = rig.told("peer", 2, confirm=True)
     assert not answer.new_connection
@@ -262,20 +259,20 @@
     assert offer.new_connection
 
 
-def test_one_without_any_version_asks_at_once():
-    """It answers nobody before it has one."""
+def test_process_without_version_requests_one_at_once():
+    """It cannot serve requests without one."""
     rig = Rig(version=0)
     assert kinds(rig.told("peer", 2)) == ["CatalogRequest"]
 
 
-def test_a_version_that_is_old_already_is_asked_for_at_once():
-    """The store had its time while it was handed from peer to peer."""
+def test_old_version_is_requested_at_once():
+    """The time for the store passed while peers forwarded the version."""
     rig = Rig()
     sends = rig.told("peer", 2, age=dissemination.PEER_FALLBACK_DELAY)
     assert kinds(sends) == ["CatalogRequest"]
 
 
-def test_a_version_that_is_old_already_is_handed_on_at_once():
+def test_old_version_is_pushed_at_once():
     rig = Rig("peer")
     offer = messages.CatalogOffer(
         messages.Sender("other", "other"),
@@ -290,8 +287,8 @@
     assert confirming[0].message.age == dissemination.PEER_FALLBACK_DELAY
 
 
-def test_a_peer_that_has_ever_newer_versions_is_asked_in_time():
-    """The last of a quick succession is always young."""
+def test_peer_with_rapidly_newer_versions_is_asked_in_time():
+    """The latest of several quick versions is always recent."""
     rig = Rig()
     asked = []
     for version in range(2, 12):
@@ -300,7 +297,7 @@
     assert asked
 
 
-def test_a_new_run_of_a_process_may_lack_what_the_one_before_had():
+def test_restarted_peer_may_have_an_older_version():
     rig = Rig("peer")
     rig.take(2)
     rig.told("peer", 2)
@@ -309,8 +306,8 @@
     assert kinds(rig.tick(0.05)) == ["CatalogVersion"]
 
 
-def test_each_is_watched_by_the_one_before_it():
-    """So a version reaches all as long as one has it."""
+def test_every_process_is_the_nearest_successor_of_another():
+    """A version therefore reaches every process once one has it."""
     names = {f"p{number}" for number in range(20)}
     watched = set()
     for own in names:
@@ -329,8 +326,8 @@
 
 
 @pytest.mark.parametrize("delayed", [False, True])
-def test_a_delayed_word_of_an_earlier_run_does_not_speak_for_the_new(delayed):
-    """A ping that a cut held back arrives after its process started again."""
+def test_delayed_report_of_an_earlier_run_is_ignored(delayed):
+    """A delayed ping arrives after its sender has restarted."""
     rig = Rig("peer")
     rig.take(2)
     rig.hear("peer", boot=1000, config=1)
@@ -341,15 +338,15 @@
     assert kinds(rig.tick(60.0)) == ["CatalogVersion"]
 
 
-def test_who_tells_an_old_version_hears_of_the_newer_one():
-    """It takes this process for a watcher, which does not know it yet."""
+def test_peer_that_reports_an_old_version_is_sent_the_newer():
+    """The peer knows this process before this process knows it."""
     rig = Rig()
     rig.take(2)
     rig.tick(60.0)
     assert kinds(rig.told("peer", 1)) == ["CatalogVersion"]
 
 
-def test_nothing_is_kept_of_processes_that_are_forgotten():
+def test_state_of_forgotten_processes_is_dropped():
     rig = Rig(*(f"p{number}" for number in range(100)))
     for name in list(rig.directory.member_by_name):
         rig.told(name, 1)
@@ -358,4 +355,4 @@
     rig.directory.expire(rig.now)
     assert rig.directory.member_by_name == {}
     rig.tick(60.0)
-    assert rig.decisions._said_by_name == {}
+    assert rig.decisions._reported_by_name == {}
--- a/test/test_store_readers.py
+++ b/test/test_store_readers.py
@@ -1,4 +1,4 @@
-"""Who waits at the store, and how the others have each version in time."""
+"""Choice of store readers, and delivery of versions to all other processes."""
 
 import asyncio
 import random
@@ -14,11 +14,11 @@
 from test import test_dissemination
 from test import test_store
 
-MANY = 120
+PROCESSES = 120
 
 
 def directory(count: int, own: str = "p0") -> membership.Directory:
-    """A process that knows others, in five failure domains."""
+    """Creates the directory of one process in a fleet of five domains."""
     infos = [
         helper.info(f"p{number}", domain=f"d{number % 5}")
         for number in range(count)
@@ -34,13 +34,13 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 21, 31])
-def test_a_small_fleet_reads_as_a_whole(count):
+def test_all_processes_of_a_small_fleet_are_readers(count):
     found = store_readers.StoreReaders(directory(count))
     assert found.count == count
     assert found.includes_self
 
 
-def test_in_a_large_fleet_some_of_each_failure_domain_read():
+def test_large_fleet_has_readers_in_each_failure_domain():
     found = store_readers.StoreReaders(directory(235))
     assert (
         store_readers.MIN_READERS
@@ -56,7 +56,7 @@
         assert len(reading) >= store_readers.READERS_PER_DOMAIN
 
 
-def test_all_find_the_same_readers():
+def test_all_processes_choose_the_same_readers():
     chosen = [
         store_readers.StoreReaders(directory(90, own))._choose()
         for own in ("p0", "p77")
@@ -64,7 +64,7 @@
     assert chosen[0] == chosen[1]
 
 
-def test_others_take_the_place_of_readers_that_are_gone():
+def test_dead_readers_are_replaced():
     known = directory(90)
     found = store_readers.StoreReaders(known)
     before = found._choose()
@@ -74,7 +74,7 @@
     assert not before & {n for n in found._choose() if n != "p0"}
 
 
-def test_a_failure_domain_that_is_cut_off_has_readers_of_its_own():
+def test_partitioned_failure_domain_has_its_own_readers():
     known = directory(90)
     found = store_readers.StoreReaders(known)
     for number in range(90):
@@ -84,11 +84,11 @@
     assert found.includes_self
 
 
-# How the others have each version.
+# Delivery of versions to processes that do not read.
 
 
 def settled(seed: int) -> fleet.Fleet:
-    found = fleet.Fleet(MANY, seed)
+    found = fleet.Fleet(PROCESSES, seed)
     found.publish(1)
     found.run(3.0)
     return found
@@ -98,35 +98,38 @@
     return max(found.lags().values())
 
 
-def test_most_of_a_large_fleet_does_not_read():
+def test_most_processes_of_a_large_fleet_are_not_readers():
     found = settled(1)
     nodes = found.node_by_name.values()
-    assert sum(one.neighbours.readers.includes_self for one in nodes) < MANY / 3
+    assert (
+        sum(one.neighbours.readers.includes_self for one in nodes)
+        < PROCESSES / 3
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("share", [0.0, 0.5, 0.9])
-def test_who_does_not_read_has_each_version_in_time(seed, share):
+def test_processes_that_do_not_read_get_versions_in_time(seed, share):
     found = settled(seed)
     test_dissemination.deafen(found, share)
     for version in range(2, 6):
         found.publish(version)
         found.run(2.1)
-    assert worst(found) <= test_dissemination.IN_FORCE_WITHIN
+    assert worst(found) <= test_dissemination.ACTIVE_WITHIN
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_lost_messages_leave_nobody_behind(seed):
-    """One of ten datagrams is lost."""
+def test_versions_spread_in_time_despite_lost_messages(seed):
+    """A tenth of the datagrams is lost."""
     found = settled(seed)
     found.loses = 0.1
     for version in range(2, 6):
         found.publish(version)
         found.run(2.1)
-    assert worst(found) <= test_dissemination.AT_THAT_MOMENT
+    assert worst(found) <= test_dissemination.ACTIVE_WITHIN_AFTER_BREAK
 
 
-def test_readers_that_end_as_a_version_comes_leave_nobody_behind():
+def test_versions_spread_in_time_when_readers_stop():
     found = settled(2)
     reading = [
         name
@@ -142,13 +145,13 @@
         for (name, version), lag in found.lags().items()
         if name in found.node_by_name
     ]
-    assert max(lags) <= test_dissemination.AT_THAT_MOMENT
+    assert max(lags) <= test_dissemination.ACTIVE_WITHIN_AFTER_BREAK
 
 
-# The one that reads.
+# The store follower.
 
 
-def test_who_is_no_reader_waits_at_the_store_no_more_until_it_is_one():
+def test_follower_waits_at_the_store_only_while_it_is_a_reader():
     async def work():
         store = test_store.HangingStore()
         reads = [False]
@@ -164,14 +167,14 @@
         reads[0] = True
         follower.look()
         await helper.until(lambda: len(store.waits) == 1)
-        # What came while it did not wait is read first.
+        # Changes made while it did not wait are read first.
         assert store.first_reads == 2
         task.cancel()
 
     helper.run(work())
 
 
-def test_who_is_no_reader_looks_now_and_then(monkeypatch):
+def test_follower_that_is_not_a_reader_polls_the_store(monkeypatch):
     monkeypatch.setattr(registry, "LOOK_EVERY", 0.01)
 
     async def work():
