--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -1,8 +1,7 @@
-"""The configuration in force: routes, services and limits of callers.
+"""The active configuration: routes, services and limits of callers.
 
-A catalog is never changed; a newer one replaces it. Which one is in force is
-decided by its version alone, and within one life of a process the version
-only rises.
+A catalog is immutable and is replaced by one with a higher version. The version
+that a process uses never decreases while the process runs.
 """
 
 import dataclasses
@@ -22,11 +21,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class WeightedService:
-    """One service of a route that is split by weight.
+    """A service that receives part of the requests of a route.
 
     Attributes:
         service: Name of the service.
-        weight: Its part, against the sum over the route's shares.
+        weight: Its weight, relative to the sum over the services of the route.
     """
 
     service: str
@@ -35,19 +34,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """One route.
+    """Requests of one host and path prefix, and how they are served.
 
     Attributes:
         name: Name of the route.
-        host: Host, lower case, without port.
-        prefix: Path prefix; it begins and ends with a slash.
-        shares: Services that serve it, by weight.
-        idempotent: Whether a second run of a request does no harm.
-        timeout: Longest time a request may be held, seconds.
-        aim: Time within which an answer has its full worth, seconds.
-        priority: Rank; 0 is the most urgent.
-        attempts: Targets that one request may be sent to.
-        is_open: Whether callers need no key of an organisation.
+        host: Host in lower case, without a port.
+        prefix: Path prefix, which starts and ends with a slash.
+        weighted_services: Services that serve the route.
+        idempotent: Whether a request may safely be executed more than once.
+        timeout: Longest time that a request may take, in seconds.
+        objective: Latency objective in seconds.
+        priority: Priority; 0 is the most urgent.
+        attempts: Maximum number of targets that a request is sent to.
+        allows_anonymous: Whether requests without a key are accepted.
     """
 
     name: str
@@ -62,21 +61,21 @@
     allows_anonymous: bool = False
 
     def pick(self, rng: random.Random) -> str:
-        """The service of one request, drawn by weight."""
+        """Chooses a service at random, by weight."""
         if len(self.weighted_services) == 1:
             return self.weighted_services[0].service
-        weights = [share.weight for share in self.weighted_services]
+        weights = [weighted.weight for weighted in self.weighted_services]
         return rng.choices(self.weighted_services, weights)[0].service
 
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """What a catalog says of one service.
+    """Settings of one service.
 
     Attributes:
-        name: Its name.
-        health: Path of the health endpoint of its targets.
-        connections: Connections that a target of it takes.
+        name: Name of the service.
+        health_path: Path of the health endpoint of its targets.
+        max_connections: Maximum number of connections to each target.
     """
 
     name: str
@@ -86,13 +85,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerLimits:
-    """Bounds on what a caller may send.
+    """Limits on the connections and requests of callers.
 
     Attributes:
-        header_bytes: Largest head of a request.
-        body_bytes: Largest body of a request.
-        head: Seconds a caller has to send a head.
-        idle: Seconds a connection may stay idle.
+        header_bytes: Maximum size of the head of a request.
+        body_bytes: Maximum size of the body of a request.
+        head_timeout: Seconds within which a caller must send the head.
+        idle_timeout: Seconds that a connection may stay idle.
     """
 
     header_bytes: int
@@ -101,7 +100,7 @@
     idle_timeout: float
 
 
-# Before any catalog is known; the usual bounds of HTTP servers.
+# Applies until a catalog is loaded.
 DEFAULT_LIMITS = CallerLimits(32_768, 1 << 26, 10.0, 60.0)
 
 
@@ -110,13 +109,14 @@
     """One version of the configuration.
 
     Attributes:
-        version: Its number; versions rise, with gaps.
-        routes: Look-up of routes by host and path.
+        version: Version number; later versions have higher numbers, with gaps.
+        routes: Routes by host and path.
         services_by_name: The services.
-        limits: Bounds on callers.
-        source: The record it was decoded from.
-        callers: Who may call; None where nobody is asked for a key.
-        with_key_digests: Makes of the record what peers are handed.
+        limits: Limits for callers.
+        source: The record that it was decoded from.
+        callers: Organisations that may call, or None if no key is required.
+        with_key_digests: Replaces the keys in a record with their digests, so
+            that the record can be sent to peers.
     """
 
     version: int
@@ -129,36 +129,36 @@
 
     @property
     def has_rate_limits(self) -> bool:
-        """Whether any organisation may send only so much."""
+        """Whether any organisation has a rate limit."""
         return self.callers is not None and self.callers.any_limited
 
     @functools.cached_property
     def record(self) -> bytes:
-        """The record that peers are handed, which holds no key."""
+        """The record as sent to peers, with digests in place of keys."""
         return self.with_key_digests(self.source)
 
     def organisation(self, name: str) -> organisations.Organisation | None:
-        """An organisation by its name, where it is known."""
+        """Returns an organisation by name, or None if there is none."""
         if self.callers is None:
             return None
         return self.callers.by_name.get(name)
 
     @functools.cached_property
     def shortest_objective_by_service(self) -> dict[str, float]:
-        """The shortest latency objective of each service's routes, seconds."""
-        least: dict[str, float] = {}
+        """The shortest latency objective among the routes of each service."""
+        shortest: dict[str, float] = {}
         for route in self.routes:
-            for share in route.weighted_services:
-                known = least.get(share.service, math.inf)
-                least[share.service] = min(known, route.objective)
-        return least
+            for weighted in route.weighted_services:
+                known = shortest.get(weighted.service, math.inf)
+                shortest[weighted.service] = min(known, route.objective)
+        return shortest
 
 
 EMPTY = Catalog(0, routing.Table(()), {}, DEFAULT_LIMITS)
 
 
 class ActiveCatalog:
-    """The catalog in force in this process."""
+    """The catalog that this process uses."""
 
     def __init__(self):
         self.catalog = EMPTY
@@ -166,19 +166,19 @@
 
     @property
     def loaded(self) -> bool:
-        """Whether any catalog is in force."""
+        """Whether a catalog has been loaded."""
         return self.catalog.version > 0
 
     def offer(self, catalog: Catalog, source: str, now: float) -> bool:
-        """Takes a catalog if it is newer than the one in force.
+        """Activates a catalog if it is newer than the active one.
 
         Args:
             catalog: The catalog.
-            source: Where it came from, for the log.
+            source: Where it came from, such as the store; for the log.
             now: Monotonic seconds.
 
         Returns:
-            Whether it is in force now and was not before.
+            Whether the catalog became active.
         """
         if catalog.version <= self.catalog.version:
             return False
--- a/test/test_heartbeats.py
+++ b/test/test_heartbeats.py
@@ -1,31 +1,31 @@
-"""Which life of a target counts, and which words of it are late."""
+"""Tracking of target incarnations, and recognition of stale heartbeats."""
 
 import pytest
 
 from forklift import heartbeats
 
-# Seconds by which a heartbeat may be late.
-LATE = 5.0
+# Longest delay of a heartbeat in seconds.
+MAX_DELAY = 5.0
 OLD = heartbeats.TargetIncarnation("t", 100)
 NEW = heartbeats.TargetIncarnation("t", 200)
-NAMELESS = heartbeats.TargetIncarnation("t")
+WITHOUT_START = heartbeats.TargetIncarnation("t")
 
 
-class Story:
-    """What was heard of target t, at which times."""
+class Events:
+    """Feeds events about target t to a tracker."""
 
     def __init__(self):
-        self.lives = heartbeats.IncarnationTracker(LATE)
+        self.tracker = heartbeats.IncarnationTracker(MAX_DELAY)
         self.now = 0.0
         self._sequence_by_incarnation: dict[
             heartbeats.TargetIncarnation, int
         ] = {}
 
-    def after(self, seconds: float) -> "Story":
+    def after(self, seconds: float) -> "Events":
         self.now += seconds
         return self
 
-    def beats(
+    def heartbeat(
         self,
         incarnation: heartbeats.TargetIncarnation,
         sequence: int | None = None,
@@ -33,184 +33,184 @@
         if sequence is None:
             sequence = self._sequence_by_incarnation.get(incarnation, 0) + 1
             self._sequence_by_incarnation[incarnation] = sequence
-        return self.lives.record_heartbeat(incarnation, sequence, self.now)
+        return self.tracker.record_heartbeat(incarnation, sequence, self.now)
 
-    def leaves(self, incarnation: heartbeats.TargetIncarnation) -> str | None:
-        return self.lives.record_leave(incarnation, self.now)
+    def leave(self, incarnation: heartbeats.TargetIncarnation) -> str | None:
+        return self.tracker.record_leave(incarnation, self.now)
 
-    def is_recalled(
+    def remembered_leave(
         self, incarnation: heartbeats.TargetIncarnation
     ) -> str | None:
-        return self.lives.record_remembered_leave(incarnation, self.now)
+        return self.tracker.record_remembered_leave(incarnation, self.now)
 
-    def is_found(self) -> bool:
-        return self.lives.record_health_check("t", self.now)
+    def health_check(self) -> bool:
+        return self.tracker.record_health_check("t", self.now)
 
     @property
-    def counts(self) -> str | None:
-        return self.lives.current_name("t")
+    def current_name(self) -> str | None:
+        return self.tracker.current_name("t")
 
 
-FIRST, FURTHER, LATE_WORD = heartbeats.HeartbeatKind
+FIRST, FURTHER, STALE = heartbeats.HeartbeatKind
 
 
-def test_a_target_is_back_under_its_name_though_it_never_said_that_it_leaves():
-    """It crashed and started again; its numbers began anew."""
-    story = Story()
-    assert story.beats(OLD, 40) is FIRST
-    assert story.after(1.0).beats(NEW, 1) is FIRST
-    assert story.counts == "t@200"
+def test_crashed_target_returns_under_the_same_name():
+    """Sequence numbers start again after a crash."""
+    events = Events()
+    assert events.heartbeat(OLD, 40) is FIRST
+    assert events.after(1.0).heartbeat(NEW, 1) is FIRST
+    assert events.current_name == "t@200"
 
 
-def test_a_target_is_back_after_it_was_forgotten():
-    story = Story()
-    story.beats(OLD, 40)
-    assert story.after(60.0).beats(NEW, 1) is FIRST
+def test_target_returns_after_a_long_silence():
+    events = Events()
+    events.heartbeat(OLD, 40)
+    assert events.after(60.0).heartbeat(NEW, 1) is FIRST
 
 
-def test_a_target_is_back_after_it_had_left():
-    story = Story()
-    story.beats(OLD)
-    assert story.leaves(OLD) == "t@100"
-    assert story.after(1.0).beats(NEW, 1) is FIRST
-    assert story.beats(NEW, 2) is FURTHER
+def test_target_returns_after_it_left():
+    events = Events()
+    events.heartbeat(OLD)
+    assert events.leave(OLD) == "t@100"
+    assert events.after(1.0).heartbeat(NEW, 1) is FIRST
+    assert events.heartbeat(NEW, 2) is FURTHER
 
 
-def test_a_late_heartbeat_of_the_life_before_changes_nothing():
-    story = Story()
-    story.beats(OLD, 40)
-    story.beats(NEW, 1)
-    assert story.after(2.0).beats(OLD, 41) is LATE_WORD
-    assert story.counts == "t@200"
-    assert story.beats(NEW, 2) is FURTHER
+def test_late_heartbeat_of_an_earlier_incarnation_is_ignored():
+    events = Events()
+    events.heartbeat(OLD, 40)
+    events.heartbeat(NEW, 1)
+    assert events.after(2.0).heartbeat(OLD, 41) is STALE
+    assert events.current_name == "t@200"
+    assert events.heartbeat(NEW, 2) is FURTHER
 
 
-def test_a_late_last_word_of_the_life_before_changes_nothing():
-    story = Story()
-    story.beats(OLD)
-    story.beats(NEW)
-    assert story.leaves(OLD) is None
-    assert story.counts == "t@200"
-    assert story.beats(NEW) is FURTHER
+def test_late_leave_of_an_earlier_incarnation_is_ignored():
+    events = Events()
+    events.heartbeat(OLD)
+    events.heartbeat(NEW)
+    assert events.leave(OLD) is None
+    assert events.current_name == "t@200"
+    assert events.heartbeat(NEW) is FURTHER
 
 
-def test_a_peer_that_recalls_the_life_before_changes_nothing():
-    story = Story()
-    story.beats(NEW)
-    assert story.is_recalled(OLD) is None
-    assert story.beats(NEW) is FURTHER
+def test_remembered_leave_of_an_earlier_incarnation_is_ignored():
+    events = Events()
+    events.heartbeat(NEW)
+    assert events.remembered_leave(OLD) is None
+    assert events.heartbeat(NEW) is FURTHER
 
 
-def test_a_life_that_left_never_counts_again():
-    story = Story()
-    story.beats(OLD)
-    story.leaves(OLD)
-    assert story.after(1.0).beats(OLD) is LATE_WORD
-    assert story.after(100.0).beats(OLD) is LATE_WORD
+def test_incarnation_that_left_is_never_accepted_again():
+    events = Events()
+    events.heartbeat(OLD)
+    events.leave(OLD)
+    assert events.after(1.0).heartbeat(OLD) is STALE
+    assert events.after(100.0).heartbeat(OLD) is STALE
 
 
-def test_a_last_word_without_a_time_of_birth_is_of_the_life_that_counts():
-    story = Story()
-    story.beats(OLD)
-    assert story.leaves(NAMELESS) == "t@100"
-    assert story.beats(OLD) is LATE_WORD
-    assert story.beats(NEW) is FIRST
+def test_leave_without_start_time_means_the_current_incarnation():
+    events = Events()
+    events.heartbeat(OLD)
+    assert events.leave(WITHOUT_START) == "t@100"
+    assert events.heartbeat(OLD) is STALE
+    assert events.heartbeat(NEW) is FIRST
 
 
-def test_a_last_word_that_comes_first_is_of_whoever_speaks_on():
-    """Its process had just started and knows no life of the target."""
-    story = Story()
-    story.leaves(NAMELESS)
+def test_leave_of_unknown_target_applies_to_ongoing_heartbeats():
+    """The process has just started and knows no incarnation of the target."""
+    events = Events()
+    events.leave(WITHOUT_START)
     for _ in range(8):
-        assert story.after(1.5).beats(OLD) is LATE_WORD
-    assert story.after(LATE + 0.1).beats(NEW) is FIRST
+        assert events.after(1.5).heartbeat(OLD) is STALE
+    assert events.after(MAX_DELAY + 0.1).heartbeat(NEW) is FIRST
 
 
-def test_numbers_of_one_life_only_rise():
-    story = Story()
-    assert story.beats(OLD, 5) is FIRST
-    assert story.beats(OLD, 5) is LATE_WORD
-    assert story.beats(OLD, 4) is LATE_WORD
-    assert story.beats(OLD, 6) is FURTHER
+def test_heartbeats_with_lower_sequence_numbers_are_stale():
+    events = Events()
+    assert events.heartbeat(OLD, 5) is FIRST
+    assert events.heartbeat(OLD, 5) is STALE
+    assert events.heartbeat(OLD, 4) is STALE
+    assert events.heartbeat(OLD, 6) is FURTHER
 
 
-def test_a_target_without_a_time_of_birth_never_comes_back():
-    story = Story()
-    assert story.beats(NAMELESS) is FIRST
-    assert story.leaves(NAMELESS) == "t"
-    assert story.after(100.0).beats(NAMELESS) is LATE_WORD
+def test_target_without_start_time_never_returns():
+    events = Events()
+    assert events.heartbeat(WITHOUT_START) is FIRST
+    assert events.leave(WITHOUT_START) == "t"
+    assert events.after(100.0).heartbeat(WITHOUT_START) is STALE
 
 
-def test_software_that_tells_its_birth_takes_the_place_of_one_that_does_not():
-    story = Story()
-    story.beats(NAMELESS)
-    assert story.after(1.0).beats(OLD) is FIRST
-    # A heartbeat that lacks it now is another writer's, or late.
-    assert story.after(1.0).beats(NAMELESS) is LATE_WORD
-    assert story.counts == "t@100"
+def test_incarnation_with_start_time_replaces_one_without():
+    events = Events()
+    events.heartbeat(WITHOUT_START)
+    assert events.after(1.0).heartbeat(OLD) is FIRST
+    # A heartbeat without a start time is now stale or from another sender.
+    assert events.after(1.0).heartbeat(WITHOUT_START) is STALE
+    assert events.current_name == "t@100"
 
 
 @pytest.mark.parametrize("ends", ["it falls silent", "it says that it leaves"])
-def test_a_clock_that_went_back_between_two_lives_keeps_none_out(ends):
-    """The later life seems the older one, and nothing else is on its way."""
-    story = Story()
-    story.beats(NEW)
+def test_incarnation_is_accepted_after_clock_was_set_back(ends):
+    """The new incarnation has the earlier start time."""
+    events = Events()
+    events.heartbeat(NEW)
     if ends == "it says that it leaves":
-        story.leaves(NEW)
-    assert story.after(LATE - 0.1).beats(OLD) is LATE_WORD
-    assert story.after(0.2).beats(OLD) is FIRST
-    assert story.counts == "t@100"
+        events.leave(NEW)
+    assert events.after(MAX_DELAY - 0.1).heartbeat(OLD) is STALE
+    assert events.after(0.2).heartbeat(OLD) is FIRST
+    assert events.current_name == "t@100"
 
 
-def test_a_false_birth_keeps_the_true_life_out_for_no_longer_than_a_late_word():
-    story = Story()
-    story.beats(OLD)
-    assert story.beats(heartbeats.TargetIncarnation("t", 10**15)) is FIRST
-    assert story.after(1.5).beats(OLD) is LATE_WORD
-    assert story.after(LATE).beats(OLD) is FIRST
+def test_false_start_time_blocks_for_at_most_the_maximum_delay():
+    events = Events()
+    events.heartbeat(OLD)
+    assert events.heartbeat(heartbeats.TargetIncarnation("t", 10**15)) is FIRST
+    assert events.after(1.5).heartbeat(OLD) is STALE
+    assert events.after(MAX_DELAY).heartbeat(OLD) is FIRST
 
 
-def test_what_health_found_has_its_name_from_its_first_heartbeat():
-    """Its process started again and asked it before any heartbeat came."""
-    story = Story()
-    assert story.is_found()
-    assert story.counts == "t"
-    assert story.beats(NEW, 40) is FURTHER
-    assert story.counts == "t@200"
-    assert story.after(1.0).beats(OLD, 41) is LATE_WORD
+def test_first_heartbeat_names_a_target_found_by_health_check():
+    """The process restarted and probed it before its first heartbeat."""
+    events = Events()
+    assert events.health_check()
+    assert events.current_name == "t"
+    assert events.heartbeat(NEW, 40) is FURTHER
+    assert events.current_name == "t@200"
+    assert events.after(1.0).heartbeat(OLD, 41) is STALE
 
 
-def test_what_health_found_may_be_what_a_peer_recalls():
-    """Before its first heartbeat nobody knows; it gets no work till then."""
-    story = Story()
-    story.is_found()
-    assert story.is_recalled(OLD) == "t"
-    assert story.after(1.0).beats(OLD) is LATE_WORD
-    assert story.beats(NEW) is FIRST
+def test_remembered_leave_applies_to_target_found_by_health_check():
+    """Its incarnation is unknown before the first heartbeat."""
+    events = Events()
+    events.health_check()
+    assert events.remembered_leave(OLD) == "t"
+    assert events.after(1.0).heartbeat(OLD) is STALE
+    assert events.heartbeat(NEW) is FIRST
 
 
-def test_health_says_nothing_of_a_target_that_a_peer_has_recalled():
-    story = Story()
-    story.is_recalled(OLD)
-    assert not story.is_found()
-    assert story.beats(NEW) is FIRST
+def test_health_check_is_ignored_after_a_remembered_leave():
+    events = Events()
+    events.remembered_leave(OLD)
+    assert not events.health_check()
+    assert events.heartbeat(NEW) is FIRST
 
 
-def test_what_health_found_may_leave_before_its_first_heartbeat():
-    story = Story()
-    story.is_found()
-    assert story.leaves(NAMELESS) == "t"
-    assert story.after(1.5).beats(NEW) is LATE_WORD
+def test_target_found_by_health_check_may_leave_before_heartbeat():
+    events = Events()
+    events.health_check()
+    assert events.leave(WITHOUT_START) == "t"
+    assert events.after(1.5).heartbeat(NEW) is STALE
 
 
-def test_only_the_last_lives_are_remembered(monkeypatch):
+def test_number_of_remembered_incarnations_is_bounded(monkeypatch):
     monkeypatch.setattr(heartbeats, "MAX_REMEMBERED", 3)
-    lives = heartbeats.IncarnationTracker(LATE)
+    tracker = heartbeats.IncarnationTracker(MAX_DELAY)
     for number in range(10):
-        lives.record_heartbeat(
+        tracker.record_heartbeat(
             heartbeats.TargetIncarnation(f"t{number}", 1), 1, float(number)
         )
-        lives.record_remembered_leave(
+        tracker.record_remembered_leave(
             heartbeats.TargetIncarnation("t", number + 1), 0.0
         )
-    assert len(lives._current_by_target) == len(lives._ended) == 3
+    assert len(tracker._current_by_target) == len(tracker._ended) == 3
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -1,4 +1,4 @@
-"""A target that starts again under the name that it had."""
+"""Targets that restart under the same name."""
 
 import asyncio
 import dataclasses
@@ -26,12 +26,12 @@
     incarnation: heartbeats.TargetIncarnation,
     **changes,
 ):
-    """The target beside the first process sends a heartbeat."""
+    """Sends a heartbeat of the target of the first process."""
     fleet.announce(fleet.proxies[0], 0, incarnation=incarnation, **changes)
 
 
-async def known_as(fleet: processes.Fleet, *names: str) -> None:
-    """All processes know these targets and no other."""
+async def wait_for_targets(fleet: processes.Fleet, *names: str) -> None:
+    """Waits until all processes know exactly these targets."""
     await helper.until(
         lambda: all(
             {view.name for view in one.balancer.views("s")} == set(names)
@@ -40,31 +40,27 @@
     )
 
 
-def of_kind(kind: str) -> dict:
+def record_of_kind(kind: str) -> dict:
     return processes.record(1, r=processes.route(kind, **{"timeout-ms": 60000}))
 
 
-def test_a_returned_target_has_work_though_its_numbers_began_anew():
-    """It crashed unseen; its next heartbeat has a lower number than the last.
-
-    A process that remembered names only would take it for a late word, and
-    for as long as the earlier run had counted it would get nothing.
-    """
+def test_restarted_target_gets_requests_though_sequence_restarts():
+    """Sequence numbers that start again are not taken for stale heartbeats."""
 
     async def work(fleet):
         announce(fleet, OLD, sequence=900)
-        await known_as(fleet, OLD.name)
+        await wait_for_targets(fleet, OLD.name)
         announce(fleet, NEW, sequence=1)
-        await known_as(fleet, NEW.name)
+        await wait_for_targets(fleet, NEW.name)
         assert (await fleet.ask()).status == 200
         (received,) = fleet.targets[0].received
-        # The target knows itself by its own name only.
+        # The target expects its own name, not that of the incarnation.
         assert received.field(header_fields.DEFAULT.expected) == b"t0"
 
     processes.play(work, [[]])
 
 
-def test_doubt_load_and_cold_start_are_those_of_the_life():
+def test_ejection_load_and_cold_start_belong_to_the_incarnation():
     async def work(fleet):
         one = fleet.proxies[0]
         announce(fleet, OLD)
@@ -92,14 +88,14 @@
     ("kind", "status", "runs"),
     [("non_idempotent", 502, 1), ("idempotent", 200, 2)],
 )
-def test_what_ran_at_the_life_before_is_answered_truly_and_at_once(
+def test_request_at_an_ended_incarnation_fails_or_retries_at_once(
     kind, status, runs
 ):
-    """Nothing answers on its connections any more, though they may be open."""
+    """Open connections to the earlier incarnation never answer."""
 
     async def work(fleet):
         announce(fleet, OLD)
-        await known_as(fleet, OLD.name)
+        await wait_for_targets(fleet, OLD.name)
         fleet.targets[0].script.append("hold")
         asked = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
@@ -107,14 +103,14 @@
         assert (await asked).status == status
         assert fleet.runs() == runs
 
-    processes.play(work, [[]], first=of_kind(kind))
+    processes.play(work, [[]], first=record_of_kind(kind))
 
 
-def test_what_waits_at_the_life_before_goes_to_the_one_after():
+def test_queued_request_moves_to_the_new_incarnation():
     async def work(fleet):
         one = fleet.proxies[0]
         announce(fleet, OLD)
-        await known_as(fleet, OLD.name)
+        await wait_for_targets(fleet, OLD.name)
         one.beside.site_by_target[OLD.name].controller.slots = 1
         fleet.targets[0].script.append("hold")
         held = asyncio.create_task(fleet.ask())
@@ -127,10 +123,10 @@
         assert (await waits).status == 200
         assert fleet.runs() == 2
 
-    processes.play(work, [[]], first=of_kind("non_idempotent"))
+    processes.play(work, [[]], first=record_of_kind("non_idempotent"))
 
 
-def test_a_late_heartbeat_takes_nothing_from_the_life_after():
+def test_late_heartbeat_does_not_affect_the_new_incarnation():
     async def work(fleet):
         one = fleet.proxies[0]
         announce(fleet, OLD)
@@ -146,11 +142,11 @@
     processes.play(work, [[]])
 
 
-def test_a_returned_target_is_known_by_its_health_and_named_by_its_heartbeat():
-    """Both its process and itself started again at the same moment.
+def test_heartbeat_names_a_restarted_target_found_by_health_check():
+    """The target and its process restart at the same time.
 
-    Until its first heartbeat its process does not know which life it is, and
-    others may still ask for it by the name that it had without one.
+    Until the first heartbeat the process does not know the incarnation, and
+    other processes may still use the name without it.
     """
 
     async def work(fleet):
@@ -167,19 +163,19 @@
         await helper.until(lambda: fleet.runs() == 1)
         announce(fleet, NEW, sequence=40)
         assert one.beside.site_by_target == {NEW.name: site}
-        # What runs goes on: it is the same life.
+        # The running request continues in the same incarnation.
         assert site.controller.running == 1
         fleet.targets[0].release.set()
         assert (await asked).status == 200
-        # A request that was sent before its sender heard of the name.
+        # A request from a process that does not know the full name yet.
         for view in one.balancer.views("s"):
             view.name = "t0"
         assert (await fleet.ask()).status == 200
 
-    processes.play(work, [[]], first=of_kind("non_idempotent"))
+    processes.play(work, [[]], first=record_of_kind("non_idempotent"))
 
 
-def test_operators_may_name_a_target_by_the_name_it_gives_itself():
+def test_target_is_found_by_its_own_name():
     async def work(fleet):
         one = fleet.proxies[0]
         announce(fleet, NEW)
@@ -190,12 +186,12 @@
     processes.play(work, [[]])
 
 
-def test_a_service_that_nobody_names_takes_no_target():
-    """Another writer's word does not keep out what the target itself says."""
+def test_target_of_an_unknown_service_is_rejected():
+    """Heartbeats for an unknown service do not block valid ones."""
 
     async def work(fleet):
         one = fleet.proxies[0]
-        # Before there is a configuration nobody can tell.
+        # Without a configuration the service cannot be checked.
         assert not one.active_catalog.loaded
         announce(fleet, OLD, service="unheard-of", sequence=7)
         assert OLD.name in one.beside.site_by_target
@@ -210,7 +206,7 @@
     processes.play(work, [[]], first={})
 
 
-# What entries of other processes know.
+# Other processes.
 
 
 def info(version: int, *names: str) -> messages.ProcessInfo:
@@ -218,7 +214,7 @@
 
 
 @pytest.mark.parametrize("order", ["in turn", "the later one first"])
-def test_processes_agree_on_the_life_in_whatever_order_they_hear(order):
+def test_processes_agree_on_the_incarnation_in_any_order(order):
     directory = membership.Directory(helper.info("own"), 256)
     news = [info(1, OLD.name), info(2, NEW.name)]
     if order == "the later one first":
@@ -231,18 +227,18 @@
     assert [view.name for view in found.views("s")] == [NEW.name]
 
 
-def test_a_late_refusal_of_the_life_before_says_nothing_of_the_one_after():
-    entry = _balancer()
-    entry.update_process(info(1, OLD.name))
+def test_late_rejection_by_an_ended_incarnation_is_ignored():
+    balancer = _balancer()
+    balancer.update_process(info(1, OLD.name))
     requirements = load_balancer.Requirements("s", idempotent=True)
-    selection = entry.select(requirements, frozenset(), 0.0)
-    entry.update_process(info(2, NEW.name))
+    selection = balancer.select(requirements, frozenset(), 0.0)
+    balancer.update_process(info(2, NEW.name))
     late = messages.Load(
         4, 9, 4, State.SUSPECT, 90, 0.0, unhealthy_probability=0.9
     )
-    entry.finish_attempt("s", selection, late, 1.0)
-    entry.update_load(OLD.name, late, 1.0)
-    (view,) = entry.views("s")
+    balancer.finish_attempt("s", selection, late, 1.0)
+    balancer.update_load(OLD.name, late, 1.0)
+    (view,) = balancer.views("s")
     assert (view.name, view.in_flight) == (NEW.name, 0)
     assert view.state(1.0) is State.IN_SERVICE
     assert view.load(1.0) == 0
