--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -73,8 +73,8 @@
         service: Name of the service.
         idempotent: Whether the request is idempotent.
         required_health: How healthy the target must be.
-        scout: Whether it may be a trial request, or the request that an idle
-            target needs.
+        allows_trial: Whether it may be a trial request, or the request that
+            an idle target needs.
         wait: Whether it may go to a target without a free slot.
         kilobytes: Estimated size of the request and its response.
     """
@@ -82,7 +82,7 @@
     service: str
     idempotent: bool
     required_health: admission.RequiredHealth = admission.RequiredHealth.PROVEN
-    scout: bool = True
+    allows_trial: bool = True
     wait: bool = False
     kilobytes: float = 0.0
 
@@ -291,7 +291,11 @@
             if view is None
             else admission.RequiredHealth.SOUND
         )
-        if view is None and requirements.idempotent and requirements.scout:
+        if (
+            view is None
+            and requirements.idempotent
+            and requirements.allows_trial
+        ):
             view = self._select_for_trial(healthy, ejected, now)
         if view is None:
             pool = healthy or shedding
@@ -454,7 +458,7 @@
         processes spread their load. A target whose own process has no callers
         asks other processes for a request.
         """
-        if not requirements.scout:
+        if not requirements.allows_trial:
             return None
         max_idle = LOCAL_IDLE_LIMIT
         if not requirements.idempotent:
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -302,7 +302,7 @@
             self._request.service,
             self._request.idempotent,
             retry_state.required_health(now),
-            scout=retry_state.attempts == 0,
+            allows_trial=retry_state.attempts == 0,
             wait=retry_state.wait,
             kilobytes=self._kilobytes,
         )
@@ -412,7 +412,7 @@
             return None
         service, now = self._request.service, self._now()
         requirements = load_balancer.Requirements(
-            service, True, scout=False, kilobytes=self._kilobytes
+            service, True, allows_trial=False, kilobytes=self._kilobytes
         )
         passed = frozenset(self._retry_state.tried | {first.target})
         refused = frozenset(self._retry_state.refused)
--- a/test/test_load_balancer.py
+++ b/test/test_load_balancer.py
@@ -119,7 +119,7 @@
         required_health=admission.RequiredHealth.ANY, wait=True, idempotent=True
     )
     busy = frozenset({"b"})
-    asked = dataclasses.replace(asked, scout=False)
+    asked = dataclasses.replace(asked, allows_trial=False)
     assert balancer.select(asked, frozenset(), 10.0, busy).target == "a"
     assert (
         balancer.select(requirements(wait=True), frozenset(), 10.0, busy)
@@ -319,7 +319,7 @@
     balancer = new_balancer("a", "b")
     balancer.update_load("a", load(State.SUSPECT), 10.0)
     assert selected_targets(
-        balancer, requirements(idempotent=True, scout=False)
+        balancer, requirements(idempotent=True, allows_trial=False)
     ) == {"b"}
 
 
@@ -356,7 +356,7 @@
     assert selected_targets(balancer, requirements(kilobytes=0.5)) == {"b"}
     assert selected_targets(balancer, requirements(kilobytes=12.0)) == {"a"}
     # A retry is cheaper than sending the request to another domain.
-    again = requirements(kilobytes=3.0, idempotent=True, scout=False)
+    again = requirements(kilobytes=3.0, idempotent=True, allows_trial=False)
     assert selected_targets(balancer, again) == {"a"}
 
 
