--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -22,9 +22,9 @@
 from forklift import retries
 from forklift.shell import beside as besides
 from forklift.shell import exchange
-from forklift.shell import holding as holdings
 from forklift.shell import links as linking
 from forklift.shell import racing
+from forklift.shell import response_buffer
 from forklift.shell import sending
 from forklift.shell import stopping
 
@@ -131,8 +131,8 @@
         # Whether a target may have it.
         self._asking = False
         # A whole answer that another target's may replace.
-        self._held: holdings.Holding | None = None
-        self._turn = holdings.Turn()
+        self._held: response_buffer.Holding | None = None
+        self._turn = response_buffer.Turn()
 
     async def run(self) -> exchange.Result:
         """Sends the request until it is answered or given up."""
@@ -384,7 +384,7 @@
         is_failure = None
         if self._request.idempotent and self._request.body.again:
             is_failure = self._program.is_failure
-        holding = holdings.Holding(self._sink, is_failure, self._turn)
+        holding = response_buffer.Holding(self._sink, is_failure, self._turn)
         task = asyncio.create_task(self._attempt(selection, holding, second))
         return racing.Attempt(selection, holding, task)
 
@@ -440,7 +440,7 @@
     async def _attempt(
         self,
         selection: load_balancer.Selection,
-        holding: holdings.Holding,
+        holding: response_buffer.Holding,
         second: bool,
     ) -> exchange.Result:
         self._forwarder.sends += 1
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -21,10 +21,10 @@
 from forklift import header_fields
 from forklift import messages
 from forklift import organisations
-from forklift.shell import answering
 from forklift.shell import exchange
 from forklift.shell import http
-from forklift.shell import receiving
+from forklift.shell import request_body
+from forklift.shell import response_writer
 from forklift.shell import wire
 
 _log = structlog.get_logger(__name__)
@@ -162,8 +162,8 @@
         self._desk = ingress.desk
         self._clock = ingress.clock
         self.connection = connection
-        self._receiver = receiving.Receiver(connection, self._desk.limits)
-        self._answers: list[answering.Answer] = []
+        self._receiver = request_body.Receiver(connection, self._desk.limits)
+        self._answers: list[response_writer.Answer] = []
         self._tasks: set[asyncio.Task] = set()
         self._leftover = b""
         # Whether a part of a request was read, and the rest is awaited.
@@ -251,7 +251,7 @@
         finally:
             self.connection.close()
 
-    def last(self, answer: answering.Answer) -> bool:
+    def last(self, answer: response_writer.Answer) -> bool:
         """Whether the connection closes after an answer."""
         if self._answers and self._answers[-1] is not answer:
             return False
@@ -259,7 +259,7 @@
             self._reading = False
         return not self._reading
 
-    def _read_behind(self, answer: answering.Answer) -> bool:
+    def _read_behind(self, answer: response_writer.Answer) -> bool:
         """Whether the caller has begun a further request."""
         protocol = answer.protocol
         if protocol.their_state is not h11.DONE:
@@ -290,7 +290,9 @@
         self.connection.finish()
         unsent = self.connection.unsent
         try:
-            async with asyncio.timeout(answering.STALL if unsent else LINGER):
+            async with asyncio.timeout(
+                response_writer.STALL if unsent else LINGER
+            ):
                 await self.connection.gone()
         except TimeoutError:
             if self.connection.unsent:
@@ -315,7 +317,7 @@
             return False
         http.check_request(event)
         turn = self._answers[-1].over if self._answers else None
-        answer = answering.Answer(
+        answer = response_writer.Answer(
             self.connection, self.last, protocol, event.method, turn
         )
         self._answers.append(answer)
@@ -447,7 +449,7 @@
         self,
         request: exchange.Request | None,
         problem: Reason | None,
-        answer: answering.Answer,
+        answer: response_writer.Answer,
     ) -> None:
         self._ingress.running += 1
         try:
@@ -480,7 +482,7 @@
         self.connection.abort()
 
     async def _run(
-        self, request: exchange.Request, answer: answering.Answer
+        self, request: exchange.Request, answer: response_writer.Answer
     ) -> None:
         started = self._clock.monotonic()
         result = await self._desk.handle(request, answer)
@@ -493,7 +495,10 @@
         await self._problem(answer, result, request.id)
 
     async def _problem(
-        self, answer: answering.Answer, result: exchange.Result, request_id: str
+        self,
+        answer: response_writer.Answer,
+        result: exchange.Result,
+        request_id: str,
     ) -> None:
         ending = result.ending
         reason = ending.reason or Reason.TARGET_BROKE
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -33,9 +33,9 @@
 from forklift.shell import framing
 from forklift.shell import ingress
 from forklift.shell import keeping
-from forklift.shell import limiting
 from forklift.shell import links
 from forklift.shell import neighbours
+from forklift.shell import rate_limiting
 from forklift.shell import registry
 from forklift.shell import served as serving
 from forklift.shell import stopping
@@ -170,7 +170,7 @@
             self.keeper.read,
         )
         self.directory = self.neighbours.directory
-        self.limiting = limiting.Limiting(
+        self.limiting = rate_limiting.Limiting(
             self.directory,
             _limit_bounds(self.settings),
             self.active_catalog,
@@ -564,7 +564,7 @@
         )
 
     def _heard(self, message: messages.Control) -> None:
-        if isinstance(message, limiting.KINDS):
+        if isinstance(message, rate_limiting.KINDS):
             self.limiting.receive(message)
             return
         self.limiting.limiter.mark_alive(message.sender.name)
--- a/forklift/shell/racing.py
+++ b/forklift/shell/racing.py
@@ -12,7 +12,7 @@
 from forklift import load_balancer
 from forklift import messages
 from forklift.shell import exchange
-from forklift.shell import holding as holdings
+from forklift.shell import response_buffer
 
 # Seconds until a second attempt is tried again where no sound target was free
 # or the budget was used up: a slot is free again within about that time.
@@ -30,7 +30,7 @@
     """
 
     selection: load_balancer.Selection
-    holding: holdings.Holding
+    holding: response_buffer.Holding
     task: asyncio.Task[exchange.Result]
 
 
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        turn: holdings.Turn,
+        turn: response_buffer.Turn,
         begin: Callable[[load_balancer.Selection, bool], Attempt],
         second: Callable[
             [load_balancer.Selection, int], load_balancer.Selection | None
--- a/forklift/shell/receiving.py
+++ b/forklift/shell/request_body.py
@@ -8,9 +8,9 @@
 
 from forklift import catalog as catalogs
 from forklift import errors
-from forklift.shell import answering
 from forklift.shell import exchange
 from forklift.shell import http
+from forklift.shell import response_writer
 from forklift.shell import wire
 
 
@@ -68,6 +68,6 @@
         if protocol.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             self._connection.write(protocol.send(go_on))
-        async with asyncio.timeout(answering.STALL):
+        async with asyncio.timeout(response_writer.STALL):
             data = await self._connection.read()
         protocol.receive_data(data)
--- a/test/test_holding.py
+++ b/test/test_response_buffer.py
@@ -3,7 +3,7 @@
 import pytest
 
 from forklift.shell import exchange
-from forklift.shell import holding
+from forklift.shell import response_buffer
 from test import helper
 
 
@@ -11,7 +11,9 @@
     return exchange.Head(status, (), length)
 
 
-async def answer(held: holding.Holding, body: bytes, length: int) -> None:
+async def answer(
+    held: response_buffer.Holding, body: bytes, length: int
+) -> None:
     await held.start(head(length))
     await held.data(body)
     await held.end()
@@ -20,9 +22,9 @@
 @pytest.mark.parametrize("lengths", [(3, 3), (-1, 3), (3, -1), (-1, -1)])
 def test_of_two_answers_only_one_goes_out(lengths):
     async def work():
-        sink, turn = helper.Sink(), holding.Turn()
-        one = holding.Holding(sink, None, turn)
-        two = holding.Holding(sink, None, turn)
+        sink, turn = helper.Sink(), response_buffer.Turn()
+        one = response_buffer.Holding(sink, None, turn)
+        two = response_buffer.Holding(sink, None, turn)
         await one.start(head(lengths[0]))
         await one.data(b"o")
         await answer(two, b"two", lengths[1])
@@ -36,9 +38,9 @@
 
 def test_an_attempt_that_passed_nothing_on_gives_the_turn_back():
     async def work():
-        sink, turn = helper.Sink(), holding.Turn()
-        one = holding.Holding(sink, None, turn)
-        two = holding.Holding(sink, None, turn)
+        sink, turn = helper.Sink(), response_buffer.Turn()
+        one = response_buffer.Holding(sink, None, turn)
+        two = response_buffer.Holding(sink, None, turn)
         assert turn.take(one)
         turn.give_back(two)
         assert not turn.take(two)
@@ -51,8 +53,10 @@
 
 def test_a_failure_is_held_until_it_is_asked_for():
     async def work():
-        sink, turn = helper.Sink(), holding.Turn()
-        failed = holding.Holding(sink, lambda status: status >= 500, turn)
+        sink, turn = helper.Sink(), response_buffer.Turn()
+        failed = response_buffer.Holding(
+            sink, lambda status: status >= 500, turn
+        )
         await failed.start(head(0, 500))
         await failed.end()
         assert failed.holds
