--- a/forklift/quarantine.py
+++ b/forklift/quarantine.py
@@ -1,14 +1,14 @@
-"""Requests that crash the targets which run them, and who is to be refused.
+"""Quarantine of requests that crash targets.
 
-A request that crashes each target that begins to run it (a "query of death")
-takes a service down one target at a time, as it comes again and is repeated.
-So each crash is held against what the target was running. What ran beside the
-request that did it is held to be innocent as soon as it is answered anywhere:
-a suspect therefore runs alone, which either clears it or leaves no doubt.
+A request that crashes each target that runs it (a "query of death") takes down
+a service one target at a time, as callers and proxies retry it. So each crash
+is evidence against the requests that the target was running. A request is
+cleared when any target answers it with success. A suspected request runs alone,
+so its next run shows whether it was the cause.
 
 Evidence only grows: crashes are added, and each may become void. So processes
-that learn of it in any order, or twice, come to the same view, also after they
-were cut off from each other.
+that receive evidence in any order, repeatedly or after a partition reach the
+same verdicts.
 """
 
 import collections
@@ -21,49 +21,50 @@
 
 from forklift import messages
 
-# Weight from which on a request is held back. A crash beside other work weighs
-# one, a crash alone two: three targets at the most, two where one of them ran
-# nothing else. One alone may be chance.
+# Weight of evidence at which a request is quarantined. A crash of a target that
+# ran other requests, too, weighs one, otherwise two. So three crashes suffice,
+# or two if the request ran alone in one of them; a single crash may be a
+# coincidence.
 QUARANTINE_WEIGHT = 3
 SOLE_REQUEST_WEIGHT = 2
-# Seconds for which a request is first held back after its last crash; twice as
-# long after each that follows its release, up to DOUBLINGS times.
+# Seconds for which a request is quarantined after its last crash. The time
+# doubles with each further crash, up to MAX_DOUBLINGS times.
 QUARANTINE_SECONDS = 600.0
 MAX_DOUBLINGS = 6
-# Seconds for which a suspect is remembered, and one that was held back after
-# its release, so that a single crash then holds it back again. Evidence that is
-# void is kept as long, so that late news of it changes nothing.
+# Seconds for which evidence is kept after the last crash, or after the release
+# from quarantine: a single crash then quarantines the request again. Void
+# evidence is kept as well, so that late reports of it change nothing.
 RETENTION_SECONDS = 3600.0
-# Seconds after an answer for which a request is not taken for the cause of a
-# crash: one that crashes each target is never answered.
+# Seconds after a successful response during which a request is not blamed for a
+# crash: one that crashes each target never gets a response.
 EXONERATION_SECONDS = 10.0
-# Requests under suspicion that are kept: each costs somebody a crash.
+# Maximum number of requests with evidence that are kept.
 MAX_CASES = 512
-# Crashes kept of each.
+# Maximum number of crashes that are kept per request.
 MAX_CRASHES_PER_CASE = 8
-# Requests that were answered of late, to clear what is accused by others.
+# Maximum number of recent successful requests that are kept, to clear them when
+# other processes report evidence.
 MAX_RECENT_SUCCESSES = 512
 
 
 class Verdict(enum.Enum):
-    """How a request is seen."""
+    """The state of a request."""
 
     CLEAR = "clear"
-    # It may have crashed a target: it runs alone.
+    # It may have crashed a target, and runs alone.
     SUSPECTED = "suspect"
-    # It is refused.
+    # It is rejected.
     QUARANTINED = "held"
 
 
 @dataclasses.dataclass(frozen=True)
 class Crash:
-    """The end of a target while it ran a request.
+    """A crash of a target while it ran a request.
 
     Attributes:
         at: Monotonic seconds of this process.
-        alone: Whether the target ran nothing else.
-        void: Whether the request was answered elsewhere, so it was not the
-            cause.
+        alone: Whether the target ran no other request.
+        void: Whether the request was found not to be the cause.
     """
 
     at: float
@@ -73,11 +74,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Case:
+    """The evidence against one request."""
+
     crash_by_id: dict[int, Crash]
 
     @property
     def valid(self) -> list[Crash]:
-        """Crashes that count, the oldest first."""
+        """Crashes that are not void, oldest first."""
         return [one for one in self._all if not one.void]
 
     @property
@@ -86,28 +89,35 @@
 
     @property
     def last(self) -> float:
-        """Monotonic seconds of the last crash, void or not."""
+        """Time of the last crash, void or not, monotonic seconds."""
         return max(one.at for one in self.crash_by_id.values())
 
     @property
     def weight(self) -> int:
-        """Of all crashes that count."""
+        """Weight of all crashes that are not void."""
         return sum(
             SOLE_REQUEST_WEIGHT if one.alone else 1 for one in self.valid
         )
 
-    def held_until(self) -> float | None:
-        """Monotonic seconds of its release; None where it is not held back."""
-        return _release(self.valid)
+    def quarantined_until(self) -> float | None:
+        """End of the quarantine, monotonic seconds; None if there is none."""
+        return _quarantine_end(self.valid)
 
-    def forgotten_at(self) -> float:
-        """Monotonic seconds from which on it is of no use."""
-        release = _release(self._all)
+    def expires_at(self) -> float:
+        """Time after which the evidence is dropped, monotonic seconds."""
+        release = _quarantine_end(self._all)
         return (self.last if release is None else release) + RETENTION_SECONDS
 
 
-def _release(crashes: list[Crash]) -> float | None:
-    """When crashes, the oldest first, cease to hold a request back."""
+def _quarantine_end(crashes: list[Crash]) -> float | None:
+    """Computes the end of the quarantine that crashes justify.
+
+    Args:
+        crashes: Crashes that count, oldest first.
+
+    Returns:
+        Monotonic seconds; None if the crashes weigh too little.
+    """
     weight = 0
     for number, crash in enumerate(crashes, 1):
         weight += SOLE_REQUEST_WEIGHT if crash.alone else 1
@@ -119,19 +129,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-    """Evidence that changed.
+    """Evidence that changed and has not been sent yet.
 
     Attributes:
-        own: Of which this process knows more than it was told.
-        heard: As another process told it.
+        local: Evidence to which this process added.
+        relayed: Evidence as another process reported it.
     """
 
-    own: list[messages.Evidence]
-    heard: list[messages.Evidence]
+    local: list[messages.Evidence]
+    relayed: list[messages.Evidence]
 
 
 class Quarantine:
-    """What one process knows of requests that crash targets.
+    """Evidence and verdicts on requests, as known to one process.
 
     >>> quarantine = Quarantine()
     >>> quarantine.record_crash({b"a", b"b"}, 1, 0.0)
@@ -143,58 +153,59 @@
 
     def __init__(self):
         self._case_by_fingerprint: dict[bytes, _Case] = {}
-        self._answered: collections.OrderedDict[bytes, float] = (
+        self._success_at: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
-        # Those whose evidence changed and was not told yet, and whether this
-        # process knows more of them than another told it.
-        self._news: dict[bytes, bool] = {}
+        # Requests with changes that have not been sent, and whether this
+        # process added to the evidence.
+        self._unsent: dict[bytes, bool] = {}
         self._digest: int | None = 0
 
-    # What is decided.
+    # Verdicts.
 
     def verdict(self, fingerprint: bytes, now: float) -> Verdict:
-        """How a request is seen now."""
+        """Returns the verdict on a request."""
         case = self._case_by_fingerprint.get(fingerprint)
-        if case is None or not case.valid or now >= case.forgotten_at():
+        if case is None or not case.valid or now >= case.expires_at():
             return Verdict.CLEAR
-        until = case.held_until()
+        until = case.quarantined_until()
         if until is not None and now < until:
             return Verdict.QUARANTINED
         return Verdict.SUSPECTED
 
     def quarantined_for(self, fingerprint: bytes, now: float) -> float:
-        """Seconds until a request is released; 0 where it is not held back."""
+        """Seconds until a request is released; 0 if it is not quarantined."""
         if self.verdict(fingerprint, now) is not Verdict.QUARANTINED:
             return 0.0
         case = self._case_by_fingerprint[fingerprint]
-        return case.held_until() - now
+        return case.quarantined_until() - now
 
     def is_suspected(self, fingerprint: bytes, now: float) -> bool:
         """Whether a request may run, but only alone."""
         return self.verdict(fingerprint, now) is Verdict.SUSPECTED
 
     def quarantined(self, now: float) -> list[bytes]:
-        """Requests that are held back."""
+        """Fingerprints of the requests that are quarantined."""
         return [
             one
             for one in self._case_by_fingerprint
             if self.verdict(one, now) is Verdict.QUARANTINED
         ]
 
-    # What happens.
+    # Evidence of this process.
 
     def record_crash(
         self, running: Collection[bytes], crash: int, now: float
     ) -> None:
-        """A target crashed.
+        """Records the crash of a target.
 
         Args:
-            running: Fingerprints of what it ran; empty for what has none.
-            crash: Identity of the crash.
+            running: Fingerprints of the requests that the target ran; an empty
+                one stands for a request without a fingerprint.
+            crash: Identifier of the crash.
             now: Monotonic seconds.
         """
-        # Where one is known to do this, the others only ran beside it.
+        # If a quarantined request ran, it is the cause, and not the others.
         known = {one for one in running if self.quarantined_for(one, now)}
         blamed = known or set(running)
         alone = len(blamed) == 1
@@ -202,40 +213,40 @@
             self._add(fingerprint, {crash: Crash(now, alone)}, now)
 
     def record_success(self, fingerprint: bytes, now: float) -> None:
-        """A target ran a request, lived, and answered it with success."""
+        """Clears a request that a target answered with success."""
         if not fingerprint:
             return
-        self._answered[fingerprint] = now
-        self._answered.move_to_end(fingerprint)
-        if len(self._answered) > MAX_RECENT_SUCCESSES:
-            self._answered.popitem(last=False)
+        self._success_at[fingerprint] = now
+        self._success_at.move_to_end(fingerprint)
+        if len(self._success_at) > MAX_RECENT_SUCCESSES:
+            self._success_at.popitem(last=False)
         case = self._case_by_fingerprint.get(fingerprint)
         if case is not None and case.valid:
             self._add(fingerprint, case.crash_by_id, now)
 
-    # What is told.
+    # Exchange with other processes.
 
     @property
     def has_changes(self) -> bool:
-        """Whether there is evidence that was not told yet."""
-        return bool(self._news)
+        """Whether there is evidence that has not been sent yet."""
+        return bool(self._unsent)
 
     def take_changes(self, now: float) -> Changes:
-        """Evidence that changed since it was last told."""
-        news, self._news = self._news, {}
-        found = Changes([], [])
-        for fingerprint, own in news.items():
+        """Returns the evidence that changed since the last call."""
+        unsent, self._unsent = self._unsent, {}
+        changes = Changes([], [])
+        for fingerprint, own in unsent.items():
             if fingerprint in self._case_by_fingerprint:
-                told = found.own if own else found.heard
-                told.append(self.evidence(fingerprint, now))
-        return found
+                target = changes.local if own else changes.relayed
+                target.append(self.evidence(fingerprint, now))
+        return changes
 
     def all_evidence(self, now: float) -> list[messages.Evidence]:
-        """All evidence."""
+        """Returns all evidence, as sent to other processes."""
         return [self.evidence(one, now) for one in self._case_by_fingerprint]
 
     def evidence(self, fingerprint: bytes, now: float) -> messages.Evidence:
-        """What there is against a request, as others are told."""
+        """Returns the evidence against a request, as sent to others."""
         case = self._case_by_fingerprint[fingerprint]
         crashes = tuple(
             messages.Crash(
@@ -246,7 +257,7 @@
         return messages.Evidence(fingerprint, crashes)
 
     def merge(self, found: Iterable[messages.Evidence], now: float) -> None:
-        """Takes evidence of others in."""
+        """Merges the evidence of another process."""
         for one in found:
             if not one.fingerprint:
                 continue
@@ -259,7 +270,7 @@
             self._add(one.fingerprint, crash_by_id, now, own=False)
 
     def digest(self) -> int:
-        """Equal on two processes that know the same; 0 of nothing."""
+        """Digest of all evidence, without times; 0 if there is none."""
         if self._digest is None:
             self._digest = 0
             for fingerprint, case in self._case_by_fingerprint.items():
@@ -270,9 +281,9 @@
         return self._digest
 
     def expire(self, now: float) -> None:
-        """Forgets what is of no use any more."""
+        """Drops evidence that is too old to matter."""
         for fingerprint, case in list(self._case_by_fingerprint.items()):
-            if now >= case.forgotten_at():
+            if now >= case.expires_at():
                 del self._case_by_fingerprint[fingerprint]
                 self._digest = None
 
@@ -283,10 +294,17 @@
         now: float,
         own: bool = True,
     ) -> None:
-        """Adds evidence that another told, or that was found here."""
+        """Merges evidence against one request.
+
+        Args:
+            fingerprint: The request.
+            crash_by_id: Crashes by identifier.
+            now: Monotonic seconds.
+            own: Whether this process found the evidence.
+        """
         before = self._case_by_fingerprint.get(fingerprint, _Case({}))
         merged = dict(before.crash_by_id)
-        answered = self._answered.get(fingerprint, float("-inf"))
+        success_at = self._success_at.get(fingerprint, float("-inf"))
         for number, crash in crash_by_id.items():
             known = merged.get(number, crash)
             merged[number] = Crash(
@@ -294,25 +312,26 @@
                 known.alone or crash.alone,
                 known.void
                 or crash.void
-                or crash.at <= answered + EXONERATION_SECONDS,
+                or crash.at <= success_at + EXONERATION_SECONDS,
             )
-        case = _Case(_latest(merged))
-        if not merged or now >= case.forgotten_at() or _same(before, case):
+        case = _Case(_most_recent(merged))
+        if not merged or now >= case.expires_at() or _equivalent(before, case):
             return
         self._case_by_fingerprint[fingerprint] = case
-        # Others know what one of them told, but not what this adds to it.
-        more = own or not _same(_Case(crash_by_id), case)
-        self._news[fingerprint] = more or self._news.get(fingerprint, False)
+        # Evidence that another process reported is only relayed, unless this
+        # process adds to it.
+        more = own or not _equivalent(_Case(crash_by_id), case)
+        self._unsent[fingerprint] = more or self._unsent.get(fingerprint, False)
         self._digest = None
-        if case.held_until() is not None:
-            self._excuse(fingerprint)
-        self._bound()
+        if case.quarantined_until() is not None:
+            self._void_explained(fingerprint)
+        self._enforce_case_limit()
 
-    def _excuse(self, culprit: bytes) -> None:
-        """What ran beside a request that is held back was not the cause."""
+    def _void_explained(self, culprit: bytes) -> None:
+        """Voids crashes of other requests that a quarantined one explains."""
         explained = self._case_by_fingerprint[culprit].crash_by_id
         for fingerprint, case in self._case_by_fingerprint.items():
-            if fingerprint == culprit or case.held_until() is not None:
+            if fingerprint == culprit or case.quarantined_until() is not None:
                 continue
             crash_by_id = {
                 number: dataclasses.replace(
@@ -321,11 +340,12 @@
                 for number, one in case.crash_by_id.items()
             }
             if crash_by_id != case.crash_by_id:
-                # Whoever learns of the culprit finds the same, untold.
+                # Not sent: other processes conclude the same from the evidence
+                # against the culprit.
                 self._case_by_fingerprint[fingerprint] = _Case(crash_by_id)
 
-    def _bound(self) -> None:
-        """Forgets the weakest case where there are too many."""
+    def _enforce_case_limit(self) -> None:
+        """Drops the case with the least evidence if there are too many."""
         if len(self._case_by_fingerprint) <= MAX_CASES:
             return
         case_by_fingerprint = self._case_by_fingerprint
@@ -339,14 +359,14 @@
         del case_by_fingerprint[weakest]
 
 
-def _latest(crash_by_id: dict[int, Crash]) -> dict[int, Crash]:
-    """The last crashes; of those beyond, the oldest ones are dropped."""
+def _most_recent(crash_by_id: dict[int, Crash]) -> dict[int, Crash]:
+    """Returns the most recent crashes, at most MAX_CRASHES_PER_CASE."""
     order = sorted(crash_by_id, key=lambda one: crash_by_id[one].at)
     return {one: crash_by_id[one] for one in order[-MAX_CRASHES_PER_CASE:]}
 
 
-def _same(before: _Case, after: _Case) -> bool:
-    """Whether nothing that counts differs; times of others are not exact."""
+def _equivalent(before: _Case, after: _Case) -> bool:
+    """Whether two cases are equal but for times, which are not exact."""
     if before.crash_by_id.keys() != after.crash_by_id.keys():
         return False
     return all(
--- a/forklift/quarantine_sync.py
+++ b/forklift/quarantine_sync.py
@@ -1,10 +1,10 @@
-"""Decides whom to tell of requests that crash targets.
+"""Synchronizes the evidence on requests that crash targets between processes.
 
-Such a request may come again at any process within milliseconds, so what is
-new is told to all peers at once, and in a fleet larger than that passed on.
-Datagrams are lost, and processes start, stand still and are cut off: so each
-heartbeat tells by a digest whether both sides know the same, and if not they
-exchange all they know.
+Such a request may be retried at any process within milliseconds. So new
+evidence is sent to all peers at once and relayed once in fleets where not all
+processes are peers. Datagrams are lost, and processes start, pause and are
+partitioned. So heartbeats carry a digest of the evidence, and two processes
+with different digests exchange all of theirs (anti-entropy).
 """
 
 import random
@@ -16,20 +16,20 @@
 from forklift import messages
 from forklift import quarantine as quarantines
 
-# Cases that one message carries, so that it fits a datagram.
+# Maximum number of cases in one message, so that it fits a datagram.
 MAX_CASES_PER_MESSAGE = 12
-# Peers that news of another process is passed on to, where not all are peers
-# of all: with six each of a hundred processes is told with 0.998, by the
-# final size of an epidemic; heartbeats tell the rest.
+# Number of peers to which evidence of another process is relayed, if not all
+# processes are peers. Six reach 99.8 % of a large fleet (final size of an
+# epidemic); heartbeats reach the rest.
 RELAY_FANOUT = 6
-# Peers that a process asks which stood still.
+# Number of peers that a process asks for evidence after a pause.
 REQUEST_FANOUT = 3
-# Seconds between two looks for what is of no use any more.
+# Seconds between two removals of expired evidence.
 EXPIRY_PERIOD = 1.0
 
 
 class QuarantineSync:
-    """What one process tells its peers of its quarantine."""
+    """Sends and receives evidence for the quarantine of one process."""
 
     def __init__(
         self,
@@ -38,12 +38,12 @@
         peers: Callable[[], list[str]],
         rng: random.Random,
     ):
-        """Makes one that told nothing yet.
+        """Makes a synchronizer.
 
         Args:
-            directory: The processes known.
-            quarantine: What is told.
-            peers: Names of the peers of this process.
+            directory: The known processes.
+            quarantine: The evidence to synchronize.
+            peers: Returns the names of the peers of this process.
             rng: Draws peers.
         """
         self._directory = directory
@@ -54,86 +54,93 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether there is something to tell that does not wait."""
+        """Whether there is evidence to send at once."""
         return self._quarantine.has_changes
 
     def tick(self, now: float) -> list[gossip.Send]:
-        """Lets time pass."""
+        """Drops expired evidence and returns the messages that are due."""
         if now >= self._next_expiry:
             self._next_expiry = now + EXPIRY_PERIOD
             self._quarantine.expire(now)
         if not self._quarantine.has_changes:
             return []
-        news = self._quarantine.take_changes(now)
+        changes = self._quarantine.take_changes(now)
         peers = self._peers()
-        sends = self._tell(peers, news.own)
+        sends = self._send_evidence(peers, changes.local)
         if len(self._directory.member_by_name) > gossip.MAX_PEERS:
-            few = self._rng.sample(peers, min(RELAY_FANOUT, len(peers)))
-            sends += self._tell(few, news.heard)
+            relays = self._rng.sample(peers, min(RELAY_FANOUT, len(peers)))
+            sends += self._send_evidence(relays, changes.relayed)
         return sends
 
     def receive(
         self, message: messages.SuspectedRequests, now: float
     ) -> list[gossip.Send]:
-        """Takes evidence of another process in."""
+        """Merges evidence of a peer; answers if the peer asked for it."""
         self._quarantine.merge(message.evidence, now)
         if (
             not message.wants_reply
             or message.digest == self._quarantine.digest()
         ):
             return []
-        return self._tell_all(message.sender.control, now, ask=False)
+        return self._send_all(message.sender.control, now, ask=False)
 
     def compare_digest(
         self, address: str, digest: int, now: float
     ) -> list[gossip.Send]:
-        """A peer told the digest of what it knows."""
+        """Starts an exchange of all evidence if digests differ.
+
+        Args:
+            address: Control address of the peer.
+            digest: Digest of the peer's evidence.
+            now: Monotonic seconds.
+        """
         if digest == self._quarantine.digest():
             return []
-        return self._tell_all(address, now, ask=True)
+        return self._send_all(address, now, ask=True)
 
     def request_evidence(self, now: float) -> list[gossip.Send]:
-        """Asks a few peers, as this process may have missed news."""
+        """Asks some peers for evidence that this process may have missed."""
         peers = self._peers()
         asked = self._rng.sample(peers, min(REQUEST_FANOUT, len(peers)))
         return [
             send
             for name in asked
-            for send in self._tell_all(self._address(name), now, ask=True)
+            for send in self._send_all(self._address(name), now, ask=True)
         ]
 
-    def _tell(
+    def _send_evidence(
         self, names: list[str], evidence: Sequence[messages.Evidence]
     ) -> list[gossip.Send]:
         return [
             gossip.Send(self._address(name), part)
-            for part in self._parts(evidence, ask=False)
+            for part in self._split(evidence, ask=False)
             for name in names
         ]
 
-    def _tell_all(
+    def _send_all(
         self, address: str, now: float, ask: bool
     ) -> list[gossip.Send]:
-        everything = self._quarantine.all_evidence(now)
+        evidence = self._quarantine.all_evidence(now)
         return [
             gossip.Send(address, part)
-            for part in self._parts(everything, ask) or [self._message((), ask)]
+            for part in self._split(evidence, ask)
+            or [self._make_message((), ask)]
         ]
 
-    def _parts(
+    def _split(
         self, evidence: Sequence[messages.Evidence], ask: bool
     ) -> list[messages.SuspectedRequests]:
-        """Messages of a size; the last one asks, as all is told by then."""
+        """Splits evidence into messages; only the last asks for an answer."""
         starts = range(0, len(evidence), MAX_CASES_PER_MESSAGE)
         return [
-            self._message(
+            self._make_message(
                 tuple(evidence[start : start + MAX_CASES_PER_MESSAGE]),
                 ask and start + MAX_CASES_PER_MESSAGE >= len(evidence),
             )
             for start in starts
         ]
 
-    def _message(
+    def _make_message(
         self, evidence: tuple[messages.Evidence, ...], ask: bool
     ) -> messages.SuspectedRequests:
         sender = messages.sender_of(self._directory.own)
