--- a/test/test_limits.py
+++ b/test/test_limits.py
@@ -1,9 +1,8 @@
-"""Limits of organisations: the sum over all processes, whatever befalls them.
+"""Tests that rate limits of organisations hold over all processes together.
 
-Users allow (rate x window + burst) x (1 + overshoot) + slack in any window,
-summed over all processes, also those that are cut off. One observer counts what
-a fleet on simulated time lets in while processes are cut off, end or stand
-still, and callers send many times what they may.
+In any window at most (rate x window + burst) x (1 + overshoot) + slack requests
+may be admitted, including those at partitioned processes. An observer counts
+the requests that a simulated fleet admits during faults and overload.
 """
 
 import random
@@ -19,7 +18,8 @@
 
 PROCESSES = 12
 RATES = (5, 5, 8, 22, 60, 150)
-# Usual requests against the limit, of a caller, and the excess of a burst.
+# Usual load as a fraction of the limit, requests per second of one caller, and
+# the factor of an overload.
 USUAL = 0.62
 A_CALLER = 0.75
 EXCESS = 7.5
@@ -36,8 +36,8 @@
     }
 
 
-def settled(seed: int, **changes) -> limit_model.Model:
-    """A fleet in which callers send what is usual."""
+def loaded_fleet(seed: int, **changes) -> limit_model.Model:
+    """Returns a fleet under the usual load."""
     found = limit_model.Model(seed, PROCESSES, limits(*RATES), **changes)
     found.run(SETTLED)
     names = sorted(found.node_by_name)
@@ -48,8 +48,8 @@
     return found
 
 
-def press(found: limit_model.Model, name: str, after: float) -> None:
-    """One organisation sends many times what is usual, everywhere."""
+def overload(found: limit_model.Model, name: str, after: float) -> None:
+    """Overloads the limit of one organisation at all processes."""
     rate = EXCESS * USUAL * found.limits[name].rate
     names = sorted(found.node_by_name)
 
@@ -67,7 +67,7 @@
     return function
 
 
-def some(found: limit_model.Model) -> list[str]:
+def random_names(found: limit_model.Model) -> list[str]:
     names = sorted(found.node_by_name)
     if len(names) < 2:
         return names
@@ -76,20 +76,20 @@
 
 @fault
 def cut(found):
-    found.isolate(set(some(found)))
+    found.isolate(set(random_names(found)))
     found.at(found.rng.uniform(1, 15), found.cut.clear)
 
 
 @fault
 def cut_one_way(found):
-    found.isolate(set(some(found)), one_way=True)
+    found.isolate(set(random_names(found)), one_way=True)
     found.at(found.rng.uniform(1, 15), found.cut.clear)
 
 
 @fault
 def split(found):
-    """Two parts, each of which hears only itself."""
-    part = set(some(found))
+    """Partitions the fleet into two sides."""
+    part = set(random_names(found))
     for name in part:
         for other in set(found.node_by_name) - part:
             found.cut |= {(name, other), (other, name)}
@@ -98,7 +98,7 @@
 
 @fault
 def kill(found):
-    for name in some(found):
+    for name in random_names(found):
         found.kill(name, found.rng.uniform(0.3, 4))
 
 
@@ -110,13 +110,13 @@
 
 @fault
 def roll(found):
-    for number, name in enumerate(some(found)):
+    for number, name in enumerate(random_names(found)):
         found.at(number, lambda name=name: found.kill(name, 1.5))
 
 
 @fault
 def pause(found):
-    for name in some(found):
+    for name in random_names(found):
         found.pause(name, found.rng.uniform(0.5, 13))
 
 
@@ -126,45 +126,45 @@
     found.at(5, lambda: setattr(found, "loses", 0.0))
 
 
-def play(seed: int) -> limit_model.Model:
-    """Faults and bursts in series and at once, as a seed draws them."""
+def run_random_faults(seed: int) -> limit_model.Model:
+    """Runs a fleet with random faults and overloads."""
     rng = random.Random(seed)
-    found = settled(seed)
+    found = loaded_fleet(seed)
     for _ in range(rng.randint(1, 4)):
         name = rng.choice(sorted(fault_by_name))
         at = rng.uniform(0, 0.7 * SECONDS)
         found.at(at, lambda name=name: fault_by_name[name](found))
     for _ in range(rng.randint(1, 3)):
         name = rng.choice(sorted(found.limits))
-        press(found, name, rng.uniform(0, 0.7 * SECONDS))
+        overload(found, name, rng.uniform(0, 0.7 * SECONDS))
     found.run(SECONDS)
     return found
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_more_is_run_than_the_users_allow(seed):
-    found = play(seed)
+def test_admitted_requests_stay_within_the_limit_under_random_faults(seed):
+    found = run_random_faults(seed)
     over = {name: found.worst(name) for name in found.limits}
     assert {name: part for name, part in over.items() if part > 1.0} == {}
 
 
 @pytest.mark.parametrize("name", sorted(fault_by_name))
 @pytest.mark.parametrize("seed", range(2))
-def test_no_more_is_run_under_each_fault(name, seed):
-    found = settled(seed)
+def test_admitted_requests_stay_within_the_limit_under_each_fault(name, seed):
+    found = loaded_fleet(seed)
     for organisation in ("o0", "o3", "o5"):
-        press(found, organisation, found.rng.uniform(0, 8))
+        overload(found, organisation, found.rng.uniform(0, 8))
     found.at(2.0, lambda: fault_by_name[name](found))
     found.run(SECONDS)
     assert max(found.worst(name) for name in found.limits) <= 1.0
 
 
-def test_whoever_needs_no_votes_runs_too_much_in_a_cut():
-    """What the votes are for: the model shows the breach without them."""
+def test_model_shows_overshoot_if_allocators_need_no_delegations():
+    """Guards against a model that could not show an overshoot."""
     worst = 0.0
     for seed in range(4):
-        found = settled(seed, made="one holder")
-        press(found, "o5", 8.0)
+        found = loaded_fleet(seed, made="one holder")
+        overload(found, "o5", 8.0)
         found.at(1.0, lambda found=found: split(found))
         found.run(SECONDS)
         worst = max(worst, found.worst("o5"))
@@ -172,9 +172,9 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_halves_that_lose_each_other_for_long_keep_to_it_together(seed):
-    """Callers press on both sides all the while, so each uses what it has."""
-    found = settled(seed)
+def test_long_partition_keeps_both_sides_within_the_limit(seed):
+    """Both sides are overloaded, so each uses all of its capacity."""
+    found = loaded_fleet(seed)
     names = sorted(found.node_by_name)
     for organisation in ("o4", "o5"):
         rate = EXCESS * USUAL * found.limits[organisation].rate
@@ -191,29 +191,29 @@
     assert max(found.worst(name) for name in found.limits) <= 1.0
 
 
-def test_who_keeps_within_the_limit_is_served():
-    found = settled(1)
+def test_organisation_within_its_limit_is_served():
+    found = loaded_fleet(1)
     found.run(SECONDS)
     shown = found.figures()
     assert shown.within > 4000
     assert shown.refused < 0.03 * shown.within
 
 
-def test_shares_alone_refuse_many_within_the_limit():
-    """Why parts move: a process sees less than a request of most at a time."""
+def test_static_shares_reject_more_within_the_limit_than_allocators():
+    """A static share of most organisations is less than one request."""
     refused = {}
     for made in ("shares", "allocators"):
-        found = settled(1, made=made)
+        found = loaded_fleet(1, made=made)
         found.run(SECONDS)
         refused[made] = found.figures().refused
     assert refused["shares"] > 3 * refused["allocators"]
 
 
 def assert_served(found: limit_model.Model, since: float) -> None:
-    """All in all nearly all is served, and nobody is left out.
+    """Asserts that nearly all requests are served, for every organisation.
 
-    Users count one as left out whose requests are served less than a quarter
-    as often as all.
+    An organisation counts as starved if its requests are served less than a
+    quarter as often as all requests.
     """
     late = {
         name: [yes for came, _, yes in ends if came > since]
@@ -225,8 +225,8 @@
         assert sum(ends) > 0.25 * served * len(ends), name
 
 
-def test_an_allocator_that_ends_is_followed_by_another():
-    found = settled(1)
+def test_failed_allocator_is_replaced():
+    found = loaded_fleet(1)
     before = {name: len(ends) for name, ends in found.ends.items()}
     assert not any(before.values())
     found.at(3.0, lambda: found.kill("p0", 60.0))
@@ -235,15 +235,15 @@
     assert_served(found, found.now - 6.0)
 
 
-def test_an_allocator_that_ends_is_followed_though_nobody_tells(monkeypatch):
-    """In a large fleet the end of a process is noticed late.
+def test_failed_allocator_is_replaced_before_its_failure_is_detected(
+    monkeypatch,
+):
+    """Guards against waiting for failure detection, slow in a large fleet.
 
-    Of a fleet of 93, a third of one service's instances went for good at 1 s,
-    an allocator with them; 10 s later all still asked that one, and one
-    organisation had 1 of 100 requests served on the whole day.
+    Otherwise the organisations of the shard are rejected in the meantime.
     """
     monkeypatch.setattr(limit_model, "DEAD_AFTER", 1000.0)
-    found = settled(1)
+    found = loaded_fleet(1)
     gone = {
         node.limiter._allocator_of_shard(shard)
         for node in found.node_by_name.values()
@@ -255,8 +255,8 @@
     assert_served(found, found.now - 8.0)
 
 
-def test_who_is_cut_off_goes_on_with_its_parts():
-    found = settled(1)
+def test_partitioned_process_uses_its_leases_until_they_expire():
+    found = loaded_fleet(1)
     found.run(6.0)
     found.isolate({"p3"})
     now = found.now
@@ -281,8 +281,8 @@
     ]
 
 
-def test_a_limit_that_is_lowered_binds_all_at_once():
-    found = settled(1)
+def test_lowered_limit_applies_at_once():
+    found = loaded_fleet(1)
     found.run(8.0)
     limit = organisations.Organisation("o5", (), None, 10, 10)
     found.limits["o5"] = limit
@@ -293,8 +293,8 @@
     assert let_in > 0.8 * 10 * 15
 
 
-def test_a_shard_is_handed_only_to_one_that_answers():
-    """What is handed to a process that is gone would be lost to all."""
+def test_shard_is_handed_over_only_to_a_responsive_process():
+    """Delegations handed over to a failed process would be lost."""
     found = limit_model.Model(1, 3, limits(5))
     found.run(3.0)
     node, now = found.node_by_name["p0"], found.now
@@ -319,7 +319,7 @@
     assert shard not in limiter._allocator_by_shard
 
 
-# An allocator by itself.
+# A single allocator.
 
 OWN = limit_messages.ProcessRun("a", "a", 1)
 LIMIT = organisations.Organisation("o", (), None, 100, 100)
@@ -327,7 +327,7 @@
 DELEGATION_SECONDS = allocator.DELEGATION_SECONDS
 
 
-def alone(expected=()) -> allocator.Allocator:
+def single_allocator(expected=()) -> allocator.Allocator:
     return allocator.Allocator(
         OWN, 0, BOUNDS, {"o": LIMIT}.get, lambda now: expected, 0.0
     )
@@ -351,9 +351,9 @@
     return limit_messages.Delegation(**(fields | changes))
 
 
-def test_a_vote_counts_once_it_echoes_and_from_that_moment():
-    """A vote that was held up on its way must not last longer for that."""
-    found = alone()
+def test_delegation_counts_from_the_allocation_it_echoes():
+    """A delayed delegation must not be valid for longer."""
+    found = single_allocator()
     given = found.receive_delegation(delegation(), 0.0)
     assert found.capacity(0.0) == 0.0
     late = (DELEGATION_SECONDS - allocator.LEASE_SECONDS) / 2
@@ -365,8 +365,8 @@
     )
 
 
-def test_a_share_that_another_may_count_is_not_counted_yet():
-    found = alone(expected=("p", "q"))
+def test_share_counts_only_once_no_other_allocator_counts_it():
+    found = single_allocator(expected=("p", "q"))
     given = found.receive_delegation(delegation(), 0.0)
     tie = {"previous_allocators": (("b", 5),), "exclusive_in": 6.0}
     found.receive_delegation(delegation(2, echo=given.sequence, **tie), 0.1)
@@ -374,8 +374,8 @@
     assert found.capacity(3.9) == 0.0
 
 
-def test_an_earlier_run_of_an_allocator_is_over_once_all_have_come():
-    found = alone(expected=("p", "q"))
+def test_earlier_run_of_allocator_is_ignored_once_all_processes_delegated():
+    found = single_allocator(expected=("p", "q"))
     tie = {
         "previous_allocators": (("a", 5),),
         "exclusive_in": 9.0,
@@ -393,14 +393,14 @@
     assert found.capacity(0.3) == 1.0
 
 
-def test_a_late_vote_changes_nothing():
-    found = alone()
+def test_out_of_order_delegation_is_ignored():
+    found = single_allocator()
     found.receive_delegation(delegation(5), 0.0)
     assert found.receive_delegation(delegation(4), 0.1) is None
 
 
-def test_what_is_handed_over_is_granted_by_one_only():
-    first, second = alone(), alone()
+def test_handed_over_capacity_is_granted_only_once():
+    first, second = single_allocator(), single_allocator()
     asks = (limit_messages.Demand("o", 60.0, 0),)
     given = first.receive_delegation(delegation(), 0.0)
     given = first.receive_delegation(
@@ -410,7 +410,7 @@
     handed = first.hand_over(2, 0.5)
     second.accept_handover(handed, 0.6)
     assert second.capacity(0.6) == 1.0
-    # What the first one granted is used until its successor is heard.
+    # Leases of the first allocator remain in use until its successor answers.
     asks = (limit_messages.Demand("o", 0.0, 1000),)
     other = second.receive_delegation(
         delegation(name="q", share=0.0, demands=asks), 1.6
@@ -418,11 +418,11 @@
     least = (1 - allocator.LEASABLE_FRACTION) * BOUNDS.depth(100, 100)
     assert other.token_grants[0].count <= least
     assert other.supersedes == (OWN.boot,)
-    assert alone().hand_over(2, 0.0) is None
+    assert single_allocator().hand_over(2, 0.0) is None
 
 
-def test_asks_are_answered_from_what_nobody_else_may_use():
-    found = alone()
+def test_tokens_are_granted_from_capacity_that_is_not_leased():
+    found = single_allocator()
     given = found.receive_delegation(delegation(), 0.0)
     found.receive_delegation(delegation(2, echo=given.sequence), 0.0)
     asks = (limit_messages.Demand("o", 0.0, 500),)
@@ -438,10 +438,10 @@
     assert 49 <= again.count <= 51
 
 
-# A process by itself.
+# A single process.
 
 
-def entry() -> local_quota.LocalQuota:
+def local_quota_of_process() -> local_quota.LocalQuota:
     return local_quota.LocalQuota(
         lambda: limit_messages.ProcessRun("p", "p", 7),
         BOUNDS,
@@ -450,7 +450,7 @@
     )
 
 
-def granted(found, now, boot=1, share=0.5, echo=None, sequence=1, **changes):
+def allocation(found, now, boot=1, share=0.5, echo=None, sequence=1, **changes):
     shard = local_quota.shard_of("o")
     echo = found.delegate(shard, "a", now).sequence if echo is None else echo
     fields = {
@@ -466,51 +466,51 @@
     return limit_messages.Allocation(**(fields | changes))
 
 
-def test_who_has_no_limit_is_let_in():
-    found = entry()
+def test_organisation_without_limit_is_admitted():
+    found = local_quota_of_process()
     for name in ("free", "unknown"):
         assert found.admit(name, 0.0).decision is local_quota.Decision.ADMIT
     assert not found.usage_by_organisation
 
 
-def test_parts_end_by_the_sending_of_the_vote_they_answer():
-    found = entry()
-    answer = granted(found, 0.0)
+def test_leases_expire_relative_to_sending_of_delegation():
+    found = local_quota_of_process()
+    answer = allocation(found, 0.0)
     found.receive(answer, allocator.LEASE_SECONDS / 2)
     assert found.leased_share("o", allocator.LEASE_SECONDS - 0.1) == 0.5
     assert found.leased_share("o", allocator.LEASE_SECONDS + 0.1) == 0.0
 
 
 @pytest.mark.parametrize("case", ["late", "unasked", "unknown shard"])
-def test_an_answer_to_nothing_is_passed_over(case):
-    found = entry()
-    found.receive(granted(found, 0.0, sequence=2), 0.0)
+def test_unexpected_allocation_is_ignored(case):
+    found = local_quota_of_process()
+    found.receive(allocation(found, 0.0, sequence=2), 0.0)
     answer = {
-        "late": granted(found, 0.1, sequence=1, share=0.9),
-        "unasked": granted(found, 0.1, sequence=3, share=0.9, echo=99),
-        "unknown shard": granted(found, 0.1, sequence=3, shard=99),
+        "late": allocation(found, 0.1, sequence=1, share=0.9),
+        "unasked": allocation(found, 0.1, sequence=3, share=0.9, echo=99),
+        "unknown shard": allocation(found, 0.1, sequence=3, shard=99),
     }[case]
     assert found.receive(answer, 0.2) is None
     assert found.leased_share("o", 0.2) == 0.5
 
 
-def test_parts_of_two_allocators_add_up_until_one_succeeds_the_other():
-    found = entry()
-    found.receive(granted(found, 0.0), 0.0)
-    found.receive(granted(found, 0.1, boot=2, share=0.25), 0.1)
+def test_leases_of_two_allocators_add_up_until_one_supersedes_the_other():
+    found = local_quota_of_process()
+    found.receive(allocation(found, 0.0), 0.0)
+    found.receive(allocation(found, 0.1, boot=2, share=0.25), 0.1)
     assert found.leased_share("o", 0.2) == 0.75
     found.receive(
-        granted(found, 0.3, boot=2, sequence=2, share=0.25, supersedes=(1,)),
+        allocation(found, 0.3, boot=2, sequence=2, share=0.25, supersedes=(1,)),
         0.3,
     )
     assert found.leased_share("o", 0.4) == 0.25
 
 
-def test_a_share_is_told_as_lent_until_the_one_before_can_not_count_it():
-    found = entry()
+def test_delegation_names_previous_allocator_until_it_cannot_count_the_share():
+    found = local_quota_of_process()
     shard = local_quota.shard_of("o")
     assert found.delegate(shard, "a", 0.0).exclusive_in == 0.0
-    found.receive(granted(found, 0.0), 0.0)
+    found.receive(allocation(found, 0.0), 0.0)
     found.delegate(shard, "a", 1.0)
     other = found.delegate(shard, "b", 2.0)
     assert other.previous_allocators == (("a", 1),)
@@ -521,7 +521,7 @@
     )
 
 
-def test_what_an_allocator_that_ended_was_lent_is_over_with_its_parts():
+def test_delegation_to_an_ended_allocator_expires_with_its_leases():
     ended = set()
     found = local_quota.LocalQuota(
         lambda: limit_messages.ProcessRun("p", "p", 7),
@@ -531,7 +531,7 @@
         lambda name, boot: (name, boot) in ended,
     )
     shard = local_quota.shard_of("o")
-    found.receive(granted(found, 0.0), 0.0)
+    found.receive(allocation(found, 0.0), 0.0)
     found.delegate(shard, "a", 0.0)
     assert found.delegate(shard, "b", 0.1).exclusive_in == pytest.approx(
         DELEGATION_SECONDS - 0.1
@@ -545,21 +545,21 @@
     assert later == pytest.approx(allocator.LEASE_SECONDS / 2)
 
 
-def test_who_was_told_that_nothing_is_left_does_not_ask_again_at_once():
-    found = entry()
+def test_process_does_not_ask_again_while_tokens_are_exhausted():
+    found = local_quota_of_process()
     assert found.admit("o", 0.0).decision is local_quota.Decision.ASK_ALLOCATOR
     none = (limit_messages.TokenGrant("o", 0, 0.2),)
-    found.receive(granted(found, 0.0, share=0.0, token_grants=none), 0.0)
+    found.receive(allocation(found, 0.0, share=0.0, token_grants=none), 0.0)
     again = found.admit("o", 0.1)
     assert again.decision is local_quota.Decision.REJECT
     assert again.retry_after == pytest.approx(0.1)
     assert found.admit("o", 0.25).decision is local_quota.Decision.ASK_ALLOCATOR
 
 
-def test_what_has_not_run_gives_its_token_back():
-    found = entry()
+def test_refund_makes_token_available_again():
+    found = local_quota_of_process()
     found.admit("o", 0.0)
-    found.receive(granted(found, 0.0, share=0.05), 0.0)
+    found.receive(allocation(found, 0.0, share=0.05), 0.0)
     now = 0.3
     assert found.admit("o", now).decision is local_quota.Decision.ADMIT
     assert found.admit("o", now).decision is local_quota.Decision.ASK_ALLOCATOR
@@ -567,8 +567,8 @@
     assert found.admit("o", now).decision is local_quota.Decision.ADMIT
 
 
-def test_what_is_not_used_is_forgotten():
-    found = entry()
+def test_unused_organisation_is_forgotten():
+    found = local_quota_of_process()
     found.admit("o", 0.0)
     found.tick(local_quota.FORGET_AFTER + 1.0)
     assert not found.usage_by_organisation
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are held back, and how all processes come to know."""
+"""Tests which requests are quarantined and how processes share evidence."""
 
 import itertools
 import random
@@ -13,9 +13,9 @@
 from test import fleet as fleets
 
 Verdict = quarantines.Verdict
-DEADLY, INNOCENT, OTHER = b"deadly", b"innocent", b"other"
-# Seconds within which the users want a crash to be known: the time after which
-# a process that a fault befell is in touch again.
+CRASHING, INNOCENT, OTHER = b"deadly", b"innocent", b"other"
+# Seconds within which all processes must know of a crash, also those that were
+# partitioned.
 CONTACT = 3.0
 
 
@@ -23,43 +23,43 @@
     quarantine.record_crash(set(running), number, at)
 
 
-def test_three_crashes_beside_other_work_are_enough():
+def test_three_crashes_with_concurrent_requests_quarantine():
     one = quarantines.Quarantine()
     for number in range(3):
-        assert one.verdict(DEADLY, 1.0 * number) is not Verdict.QUARANTINED
-        crash(one, number, 1.0 * number, DEADLY, b"other%d" % number)
-    assert one.verdict(DEADLY, 3.0) is Verdict.QUARANTINED
+        assert one.verdict(CRASHING, 1.0 * number) is not Verdict.QUARANTINED
+        crash(one, number, 1.0 * number, CRASHING, b"other%d" % number)
+    assert one.verdict(CRASHING, 3.0) is Verdict.QUARANTINED
 
 
-def test_two_crashes_are_enough_where_one_of_them_was_alone():
+def test_two_crashes_quarantine_if_one_ran_alone():
     one = quarantines.Quarantine()
-    crash(one, 1, 0.0, DEADLY, INNOCENT)
-    assert one.verdict(DEADLY, 0.1) is Verdict.SUSPECTED
-    crash(one, 2, 0.2, DEADLY)
-    assert one.verdict(DEADLY, 0.3) is Verdict.QUARANTINED
+    crash(one, 1, 0.0, CRASHING, INNOCENT)
+    assert one.verdict(CRASHING, 0.1) is Verdict.SUSPECTED
+    crash(one, 2, 0.2, CRASHING)
+    assert one.verdict(CRASHING, 0.3) is Verdict.QUARANTINED
 
 
-def test_one_crash_alone_may_be_chance():
+def test_single_crash_only_raises_suspicion():
     one = quarantines.Quarantine()
     crash(one, 1, 0.0, INNOCENT)
     assert one.verdict(INNOCENT, 0.1) is Verdict.SUSPECTED
 
 
-def test_what_is_answered_is_no_suspect_any_more():
+def test_success_clears_a_suspected_request():
     one = quarantines.Quarantine()
     for number in range(2):
-        crash(one, number, 1.0, DEADLY, INNOCENT)
+        crash(one, number, 1.0, CRASHING, INNOCENT)
     one.record_success(INNOCENT, 2.0)
     assert one.verdict(INNOCENT, 2.1) is Verdict.CLEAR
-    # A further crash counts as the first.
-    crash(one, 5, 20.0, DEADLY, INNOCENT)
+    # A further crash counts as the first one.
+    crash(one, 5, 20.0, CRASHING, INNOCENT)
     assert one.verdict(INNOCENT, 20.1) is not Verdict.QUARANTINED
 
 
-def test_what_was_answered_a_moment_before_is_never_accused():
-    """A popular request runs beside each crash, and is answered all the time.
+def test_recently_successful_request_is_not_suspected():
+    """A popular request runs during each crash, and succeeds elsewhere.
 
-    Otherwise somebody who can crash targets could have it refused to all.
+    Otherwise a caller that crashes targets could have it rejected for all.
     """
     one = quarantines.Quarantine()
     for number in range(20):
@@ -68,27 +68,27 @@
         assert one.verdict(INNOCENT, 1.0 * number + 0.6) is Verdict.CLEAR
 
 
-def test_what_ran_beside_one_that_is_held_back_is_excused():
+def test_requests_concurrent_with_a_quarantined_one_are_cleared():
     one = quarantines.Quarantine()
-    crash(one, 1, 0.0, DEADLY, INNOCENT, OTHER)
-    crash(one, 2, 0.2, DEADLY)
+    crash(one, 1, 0.0, CRASHING, INNOCENT, OTHER)
+    crash(one, 2, 0.2, CRASHING)
     assert one.verdict(INNOCENT, 0.3) is Verdict.CLEAR
-    # It is known for it: what runs beside it then is not even suspected.
-    crash(one, 3, 0.4, DEADLY, OTHER)
+    # Requests that run beside a quarantined one are not even suspected.
+    crash(one, 3, 0.4, CRASHING, OTHER)
     assert one.verdict(OTHER, 0.5) is Verdict.CLEAR
 
 
-def test_two_that_crash_targets_are_both_found():
+def test_two_crashing_requests_are_both_quarantined():
     one = quarantines.Quarantine()
-    crash(one, 1, 0.0, DEADLY, OTHER)
-    crash(one, 2, 0.2, DEADLY)
+    crash(one, 1, 0.0, CRASHING, OTHER)
+    crash(one, 2, 0.2, CRASHING)
     crash(one, 3, 0.3, OTHER)
     crash(one, 4, 0.4, OTHER)
-    assert one.verdict(DEADLY, 0.5) is Verdict.QUARANTINED
+    assert one.verdict(CRASHING, 0.5) is Verdict.QUARANTINED
     assert one.verdict(OTHER, 0.5) is Verdict.QUARANTINED
 
 
-def test_a_request_without_a_fingerprint_accuses_nobody_else():
+def test_request_without_fingerprint_counts_as_concurrent():
     one = quarantines.Quarantine()
     for number in range(2):
         crash(one, number, 0.0, b"", INNOCENT)
@@ -96,33 +96,33 @@
     assert one.verdict(b"", 0.1) is Verdict.CLEAR
 
 
-def test_it_is_tried_again_later_and_each_time_later():
+def test_quarantine_doubles_after_each_further_crash():
     one = quarantines.Quarantine()
-    crash(one, 1, 0.0, DEADLY)
-    crash(one, 2, 0.0, DEADLY)
+    crash(one, 1, 0.0, CRASHING)
+    crash(one, 2, 0.0, CRASHING)
     now = 0.0
     for number, hold in enumerate((600.0, 1200.0, 2400.0), 3):
-        assert one.quarantined_for(DEADLY, now) == pytest.approx(hold)
+        assert one.quarantined_for(CRASHING, now) == pytest.approx(hold)
         now += hold
-        # One run alone tells: it lives, or is held back for longer.
-        assert one.verdict(DEADLY, now) is Verdict.SUSPECTED
-        crash(one, number, now, DEADLY)
-    one.record_success(DEADLY, now + 5000.0)
-    assert one.verdict(DEADLY, now + 5000.0) is Verdict.CLEAR
+        # It runs alone once: it succeeds, or is quarantined for longer.
+        assert one.verdict(CRASHING, now) is Verdict.SUSPECTED
+        crash(one, number, now, CRASHING)
+    one.record_success(CRASHING, now + 5000.0)
+    assert one.verdict(CRASHING, now + 5000.0) is Verdict.CLEAR
 
 
-def test_memory_is_bounded_and_the_strongest_cases_stay():
+def test_number_of_cases_is_bounded_and_strongest_stay():
     one = quarantines.Quarantine()
-    crash(one, 1, 0.0, DEADLY)
-    crash(one, 2, 0.0, DEADLY)
+    crash(one, 1, 0.0, CRASHING)
+    crash(one, 2, 0.0, CRASHING)
     for number in range(3 * quarantines.MAX_CASES):
         crash(one, 10 + number, 1.0, b"new%d" % number, b"beside%d" % number)
     assert len(one.all_evidence(2.0)) <= quarantines.MAX_CASES
-    assert one.verdict(DEADLY, 2.0) is Verdict.QUARANTINED
+    assert one.verdict(CRASHING, 2.0) is Verdict.QUARANTINED
     for number in range(3 * quarantines.MAX_CRASHES_PER_CASE):
-        crash(one, -number - 1 + (1 << 40), 3.0 + number, DEADLY)
+        crash(one, -number - 1 + (1 << 40), 3.0 + number, CRASHING)
     (found,) = [
-        case for case in one.all_evidence(99.0) if case.fingerprint == DEADLY
+        case for case in one.all_evidence(99.0) if case.fingerprint == CRASHING
     ]
     assert len(found.crashes) <= quarantines.MAX_CRASHES_PER_CASE
     one.expire(1e9)
@@ -130,40 +130,43 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_processes_that_learn_in_any_order_agree(seed):
+def test_evidence_merged_in_any_order_gives_same_verdicts(seed):
     rng = random.Random(seed)
-    ones = [quarantines.Quarantine() for _ in range(3)]
-    told = []
+    quarantines_of_processes = [quarantines.Quarantine() for _ in range(3)]
+    sent = []
     for number in range(12):
-        one = rng.choice(ones)
-        names = rng.sample([DEADLY, INNOCENT, OTHER, b"x"], rng.randint(1, 3))
+        one = rng.choice(quarantines_of_processes)
+        names = rng.sample([CRASHING, INNOCENT, OTHER, b"x"], rng.randint(1, 3))
         if rng.random() < 0.3:
             one.record_success(names[0], 1.0)
         else:
             crash(one, number, 1.0, *names)
-        told += one.all_evidence(1.0)
+        sent += one.all_evidence(1.0)
     for _ in range(3):
-        for one in ones:
-            told += one.all_evidence(1.0)
-        for one in ones:
-            one.merge(rng.sample(told, len(told)), 1.0)
-    assert len({one.digest() for one in ones}) == 1
-    for name in (DEADLY, INNOCENT, OTHER, b"x"):
-        assert len({one.verdict(name, 1.1) for one in ones}) == 1
-
-
-def test_what_a_target_still_runs_for_nobody_may_have_crashed_it():
+        for one in quarantines_of_processes:
+            sent += one.all_evidence(1.0)
+        for one in quarantines_of_processes:
+            one.merge(rng.sample(sent, len(sent)), 1.0)
+    assert len({one.digest() for one in quarantines_of_processes}) == 1
+    for name in (CRASHING, INNOCENT, OTHER, b"x"):
+        assert (
+            len({one.verdict(name, 1.1) for one in quarantines_of_processes})
+            == 1
+        )
+
+
+def test_abandoned_request_may_have_caused_a_crash():
     given = crash_candidates.CrashCandidates()
-    given.add(1, DEADLY, 0.0)
+    given.add(1, CRASHING, 0.0)
     given.add(2, INNOCENT, 0.0)
     given.add(3, OTHER, 0.0)
     given.mark_ended(1, 0.1)
     given.discard(2)
-    assert given.take_fingerprints(1.0) == {DEADLY, OTHER}
+    assert given.take_fingerprints(1.0) == {CRASHING, OTHER}
     assert given.take_fingerprints(1.0) == set()
 
 
-def test_what_ended_long_before_a_crash_is_not_accused():
+def test_request_that_ended_long_before_a_crash_is_not_blamed():
     given = crash_candidates.CrashCandidates()
     given.add(1, INNOCENT, 0.0)
     given.mark_ended(1, 0.1)
@@ -196,12 +199,12 @@
         {"length": 2, "body": b""},
     ],
 )
-def test_another_path_caller_or_body_is_another_request(changes):
+def test_fingerprint_depends_on_each_part_of_the_request(changes):
     assert of(**changes) != of()
     assert of(host=b"H") == of()
 
 
-# How all processes come to know.
+# Synchronization between processes.
 
 
 def fleet(count: int, seed: int) -> fleets.Fleet:
@@ -212,16 +215,16 @@
 
 def crash_beside(made: fleets.Fleet, name: str, number: int) -> None:
     node = made.node_by_name[name]
-    crash(node.quarantine, number, made.clock.now, DEADLY)
+    crash(node.quarantine, number, made.clock.now, CRASHING)
     made.tick_in(node, 0.0)
 
 
-def know(made: fleets.Fleet) -> set[str]:
-    """Processes that hold the request back."""
+def quarantining(made: fleets.Fleet) -> set[str]:
+    """Names of processes that quarantine the request."""
     return {
         name
         for name, node in made.node_by_name.items()
-        if node.quarantine.verdict(DEADLY, made.clock.now)
+        if node.quarantine.verdict(CRASHING, made.clock.now)
         is Verdict.QUARANTINED
     }
 
@@ -229,52 +232,52 @@
 @pytest.mark.parametrize(
     ("count", "seed"), [(2, 1), (31, 1), (31, 2), (235, 1)]
 )
-def test_all_hold_back_what_crashed_targets_anywhere(count, seed):
-    """Each crash is seen beside one target only."""
+def test_all_processes_quarantine_a_request_that_crashed_targets(count, seed):
+    """Each crash is observed by one process only."""
     made = fleet(count, seed)
     crash_beside(made, "p0", 1)
     made.run(0.05)
     crash_beside(made, f"p{count - 1}", 2)
     made.run(0.3)
-    missing = set(made.node_by_name) - know(made)
+    missing = set(made.node_by_name) - quarantining(made)
     assert len(missing) <= 0.02 * count
     made.run(CONTACT - 0.3)
-    assert know(made) == set(made.node_by_name)
+    assert quarantining(made) == set(made.node_by_name)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_who_was_cut_off_or_started_later_holds_it_back_in_time(seed):
-    """A process that was cut off, one that starts, a tenth of messages lost."""
+def test_partitioned_and_new_processes_quarantine_in_time(seed):
+    """Covers partitioned and new processes while 10 % of messages are lost."""
     made = fleet(31, seed)
     made.loses = 0.1
     made.cut = {"p3", "p4", "p5"}
     crash_beside(made, "p0", 1)
     crash_beside(made, "p1", 2)
     made.run(20.0)
-    assert not know(made) & made.cut
+    assert not quarantining(made) & made.cut
     made.cut = set()
     late = made.start("p6")
     others = [n for n in made.node_by_name.values() if n is not late]
     for node in made.rng.sample(others, 3):
         late.directory.apply_direct(node.directory.own, made.clock.now)
     made.run(CONTACT)
-    assert know(made) == set(made.node_by_name)
+    assert quarantining(made) == set(made.node_by_name)
 
 
-def test_two_parts_of_a_fleet_put_together_what_each_saw():
-    """Apart, each saw a single crash, which may be chance."""
+def test_evidence_from_both_sides_of_a_partition_is_merged():
+    """Each side saw a single crash, which is too little evidence."""
     made = fleet(8, 1)
     made.cut = {"p0"}
     crash_beside(made, "p0", 1)
     crash_beside(made, "p1", 2)
     made.run(2.0)
-    assert know(made) == set()
+    assert quarantining(made) == set()
     made.cut = set()
     made.run(CONTACT)
-    assert know(made) == set(made.node_by_name)
+    assert quarantining(made) == set(made.node_by_name)
 
 
-def test_one_that_is_cleared_anywhere_is_cleared_everywhere():
+def test_request_cleared_by_one_process_is_cleared_by_all():
     made = fleet(31, 1)
     node = made.node_by_name["p0"]
     crash(node.quarantine, 1, made.clock.now, INNOCENT, OTHER)
@@ -286,14 +289,14 @@
     other.quarantine.record_success(INNOCENT, now)
     made.tick_in(other, 0.0)
     made.run(CONTACT)
-    standings = {
+    verdicts = {
         one.quarantine.verdict(INNOCENT, made.clock.now)
         for one in made.node_by_name.values()
     }
-    assert standings == {Verdict.CLEAR}
+    assert verdicts == {Verdict.CLEAR}
 
 
-def test_a_fleet_that_agrees_tells_nothing_more():
+def test_synchronized_fleet_sends_no_evidence():
     made = fleet(31, 1)
     crash_beside(made, "p0", 1)
     crash_beside(made, "p1", 2)
@@ -303,7 +306,7 @@
     assert made.count_by_kind["SuspectedRequests"] == before
 
 
-def test_much_evidence_is_told_in_messages_of_a_datagram():
+def test_messages_of_evidence_fit_a_datagram():
     one = quarantines.Quarantine()
     for number in range(quarantines.MAX_CASES):
         crash(one, number << 32, 0.0, b"%016d" % number, b"%016d" % -number)
@@ -317,24 +320,24 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(3))))
-def test_a_clearing_that_comes_before_the_accusation_counts(order):
+def test_clearing_counts_if_received_before_the_crash(order):
     one, other = quarantines.Quarantine(), quarantines.Quarantine()
-    crash(one, 1, 0.0, INNOCENT, DEADLY)
+    crash(one, 1, 0.0, INNOCENT, CRASHING)
     accused = one.all_evidence(0.0)
     one.record_success(INNOCENT, 0.1)
     cleared = one.all_evidence(0.2)
-    crash(one, 2, 0.3, DEADLY)
+    crash(one, 2, 0.3, CRASHING)
     held = one.all_evidence(0.4)
     for number in order:
         other.merge((accused, cleared, held)[number], 0.5)
     assert other.verdict(INNOCENT, 0.6) is Verdict.CLEAR
-    assert other.verdict(DEADLY, 0.6) is Verdict.QUARANTINED
+    assert other.verdict(CRASHING, 0.6) is Verdict.QUARANTINED
 
 
-def test_both_sides_of_a_difference_know_all_after_one_exchange():
-    """Each lacks what the other has."""
+def test_one_exchange_synchronizes_both_processes():
+    """Each process lacks the evidence of the other."""
     made = fleets.Fleet(2, 1)
-    for name, fingerprints in (("p0", DEADLY), ("p1", OTHER)):
+    for name, fingerprints in (("p0", CRASHING), ("p1", OTHER)):
         quarantine = made.node_by_name[name].quarantine
         crash(quarantine, ord(name[1]), made.clock.now, fingerprints)
         quarantine.take_changes(made.clock.now)
@@ -346,4 +349,4 @@
             one.fingerprint
             for one in node.quarantine.all_evidence(made.clock.now)
         }
-        assert found == {DEADLY, OTHER}
+        assert found == {CRASHING, OTHER}
