--- a/test/test_went_back.py
+++ b/test/test_went_back.py
@@ -261,7 +261,7 @@
 
 def test_a_request_that_is_held_back_is_written_down_again():
     async def work(fleet):
-        deadly.hold(fleet.proxies[0])
+        deadly.quarantine_locally(fleet.proxies[0])
         fleet.proxies[0].keeper.crashed()
         await helper.until(lambda: held(fleet))
         fleet.store.go_back({})
