--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -109,17 +109,17 @@
         self.announcements: list[heartbeats.Heartbeat] = []
         self.left: list[heartbeats.TargetIncarnation] = []
         self.ready = True
-        self.doors = endpoints.Endpoints(
+        self.endpoints = endpoints.Endpoints(
             self.announcements.append, self.left.append, lambda: self.ready
         )
 
     def call(self, path: str, body: bytes = b"") -> server.Response:
         request = server.Request("POST", path, (), body)
-        return helper.run(self.doors.heartbeat(request))
+        return helper.run(self.endpoints.heartbeat(request))
 
     def ask(self) -> int:
         request = server.Request("GET", "/ready", (), b"")
-        return helper.run(self.doors.readiness(request)).status
+        return helper.run(self.endpoints.readiness(request)).status
 
 
 HEARTBEAT = {
