--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -131,8 +131,8 @@
         # Whether a target may have it.
         self._asking = False
         # A whole answer that another target's may replace.
-        self._held: response_buffer.Holding | None = None
-        self._turn = response_buffer.Turn()
+        self._held: response_buffer.BufferedResponse | None = None
+        self._claim = response_buffer.ResponseClaim()
 
     async def run(self) -> exchange.Result:
         """Sends the request until it is answered or given up."""
@@ -374,7 +374,9 @@
 
     async def _send(self, first: load_balancer.Selection) -> racing.Tried:
         """Makes an attempt, and a second beside it where it takes long."""
-        race = racing.Race(self._turn, self._begin, self._second, self._goes_on)
+        race = racing.Race(
+            self._claim, self._begin, self._second, self._goes_on
+        )
         return await race.run(first, self._patience())
 
     def _begin(
@@ -384,9 +386,11 @@
         is_failure = None
         if self._request.idempotent and self._request.body.again:
             is_failure = self._program.is_failure
-        holding = response_buffer.Holding(self._sink, is_failure, self._turn)
-        task = asyncio.create_task(self._attempt(selection, holding, second))
-        return racing.Attempt(selection, holding, task)
+        buffered = response_buffer.BufferedResponse(
+            self._sink, is_failure, self._claim
+        )
+        task = asyncio.create_task(self._attempt(selection, buffered, second))
+        return racing.Attempt(selection, buffered, task)
 
     def _patience(self) -> float | None:
         """Seconds until a second attempt; None where there is none."""
@@ -440,7 +444,7 @@
     async def _attempt(
         self,
         selection: load_balancer.Selection,
-        holding: response_buffer.Holding,
+        buffered: response_buffer.BufferedResponse,
         second: bool,
     ) -> exchange.Result:
         self._forwarder.sends += 1
@@ -454,13 +458,13 @@
         try:
             if selection.process == self._forwarder.name:
                 result = await self._run_here(
-                    selection, holding, required_health, start_by
+                    selection, buffered, required_health, start_by
                 )
             else:
                 result = await self._forwarder.sender.send(
                     self._request,
                     selection,
-                    holding,
+                    buffered,
                     required_health,
                     self._retry_state.wait,
                     start_by,
@@ -469,14 +473,14 @@
             return result
         finally:
             # Also where this process ends while it waits for its turn.
-            if holding.holds:
-                self._held = holding
-            if not holding.begun:
-                self._turn.give_back(holding)
+            if buffered.is_withheld:
+                self._held = buffered
+            if not buffered.begun:
+                self._claim.release(buffered)
             load = result.load if result is not None else None
-            if holding.length > 0:
+            if buffered.length > 0:
                 self._balancer.response_sizes.record(
-                    self._request.route, holding.length
+                    self._request.route, buffered.length
                 )
             service = self._request.service
             self._balancer.finish_attempt(
--- a/forklift/shell/racing.py
+++ b/forklift/shell/racing.py
@@ -25,12 +25,12 @@
 
     Attributes:
         selection: The target.
-        holding: What holds its answer.
+        buffered: What holds its answer.
         task: What waits for its end.
     """
 
     selection: load_balancer.Selection
-    holding: response_buffer.Holding
+    buffered: response_buffer.BufferedResponse
     task: asyncio.Task[exchange.Result]
 
 
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        turn: response_buffer.Turn,
+        claim: response_buffer.ResponseClaim,
         begin: Callable[[load_balancer.Selection, bool], Attempt],
         second: Callable[
             [load_balancer.Selection, int], load_balancer.Selection | None
@@ -57,13 +57,13 @@
         """Makes a race without attempts.
 
         Args:
-            turn: The right to answer.
+            claim: The right to answer.
             begin: Begins an attempt at a target; whether it is a second one.
             second: Picks a target for a second attempt beside the first, by
                 how many are under way; None where none may be made now.
             note: Takes note of an attempt that failed while another goes on.
         """
-        self._turn = turn
+        self._claim = claim
         self._begin = begin
         self._second = second
         self._note = note
@@ -91,7 +91,7 @@
                     continue
                 attempt = self._attempt_by_task.pop(done.pop())
                 tried = Tried(attempt.selection, attempt.task.result())
-                answers = self._turn.taken_by is attempt.holding
+                answers = self._claim.owner is attempt.buffered
                 if answers or not self._attempt_by_task:
                     return tried
                 self._note(tried)
@@ -106,7 +106,7 @@
 
     def _hedge(self, first: load_balancer.Selection) -> float | None:
         """Begins a second attempt; seconds until the next look, if any."""
-        if self._turn.taken_by is not None:
+        if self._claim.owner is not None:
             return None
         second = self._second(first, len(self._attempt_by_task))
         if second is None:
--- a/forklift/shell/response_buffer.py
+++ b/forklift/shell/response_buffer.py
@@ -3,28 +3,28 @@
 from forklift.shell import exchange
 
 # Answers up to this size are held until whole, bytes.
-HOLD_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 
 
-class Turn:
+class ResponseClaim:
     """The right to answer, which one of several attempts takes."""
 
     def __init__(self):
-        self.taken_by: Holding | None = None
+        self.owner: BufferedResponse | None = None
 
-    def take(self, holding: "Holding") -> bool:
+    def try_acquire(self, response: "Holding") -> bool:
         """Takes it, if it is free; True when this attempt has it."""
-        if self.taken_by is None:
-            self.taken_by = holding
-        return self.taken_by is holding
+        if self.owner is None:
+            self.owner = response
+        return self.owner is response
 
-    def give_back(self, holding: "Holding") -> None:
+    def release(self, response: "Holding") -> None:
         """An attempt that passed nothing on is over."""
-        if self.taken_by is holding:
-            self.taken_by = None
+        if self.owner is response:
+            self.owner = None
 
 
-class Holding:
+class BufferedResponse:
     """Holds a small answer back until it is whole.
 
     One that breaks off never begins, so the caller sees a clear failure, and
@@ -32,9 +32,9 @@
     beside each other one answers; what the others bring is dropped.
     """
 
-    def __init__(self, sink: exchange.Sink, is_failure, turn: Turn):
+    def __init__(self, sink: exchange.Sink, is_failure, claim: ResponseClaim):
         self._sink = sink
-        self._turn = turn
+        self._claim = claim
         self._is_failure = is_failure
         self._head: exchange.Head | None = None
         self._body = bytearray()
@@ -46,7 +46,7 @@
         return self._sink.begun
 
     @property
-    def holds(self) -> bool:
+    def is_withheld(self) -> bool:
         """Whether a whole answer is held back."""
         return self._head is not None and self._whole and not self.begun
 
@@ -57,28 +57,28 @@
 
     async def start(self, head: exchange.Head) -> None:
         """See `exchange.Sink`."""
-        if 0 <= head.length <= HOLD_BYTES:
+        if 0 <= head.length <= MAX_BUFFERED_BYTES:
             self._head = head
-        elif self._turn.take(self):
+        elif self._claim.try_acquire(self):
             await self._sink.start(head)
 
     async def data(self, piece: bytes) -> None:
         """See `exchange.Sink`."""
         if self._head is not None:
             self._body += piece
-        elif self._turn.take(self):
+        elif self._claim.try_acquire(self):
             await self._sink.data(piece)
 
     async def end(self) -> None:
         """See `exchange.Sink`."""
         self._whole = True
         if self._head is None:
-            if self._turn.take(self):
+            if self._claim.try_acquire(self):
                 await self._sink.end()
             return
         failed = self._is_failure is not None
         failed = failed and self._is_failure(self._head.status)
-        if not failed and self._turn.take(self):
+        if not failed and self._claim.try_acquire(self):
             await self.flush()
 
     async def flush(self) -> exchange.Result:
--- a/test/test_response_buffer.py
+++ b/test/test_response_buffer.py
@@ -12,7 +12,7 @@
 
 
 async def answer(
-    held: response_buffer.Holding, body: bytes, length: int
+    held: response_buffer.BufferedResponse, body: bytes, length: int
 ) -> None:
     await held.start(head(length))
     await held.data(body)
@@ -22,9 +22,9 @@
 @pytest.mark.parametrize("lengths", [(3, 3), (-1, 3), (3, -1), (-1, -1)])
 def test_of_two_answers_only_one_goes_out(lengths):
     async def work():
-        sink, turn = helper.Sink(), response_buffer.Turn()
-        one = response_buffer.Holding(sink, None, turn)
-        two = response_buffer.Holding(sink, None, turn)
+        sink, claim = helper.Sink(), response_buffer.ResponseClaim()
+        one = response_buffer.BufferedResponse(sink, None, claim)
+        two = response_buffer.BufferedResponse(sink, None, claim)
         await one.start(head(lengths[0]))
         await one.data(b"o")
         await answer(two, b"two", lengths[1])
@@ -38,13 +38,13 @@
 
 def test_an_attempt_that_passed_nothing_on_gives_the_turn_back():
     async def work():
-        sink, turn = helper.Sink(), response_buffer.Turn()
-        one = response_buffer.Holding(sink, None, turn)
-        two = response_buffer.Holding(sink, None, turn)
-        assert turn.take(one)
-        turn.give_back(two)
-        assert not turn.take(two)
-        turn.give_back(one)
+        sink, claim = helper.Sink(), response_buffer.ResponseClaim()
+        one = response_buffer.BufferedResponse(sink, None, claim)
+        two = response_buffer.BufferedResponse(sink, None, claim)
+        assert claim.try_acquire(one)
+        claim.release(two)
+        assert not claim.try_acquire(two)
+        claim.release(one)
         await answer(two, b"two", 3)
         assert sink.body == b"two"
 
@@ -53,13 +53,13 @@
 
 def test_a_failure_is_held_until_it_is_asked_for():
     async def work():
-        sink, turn = helper.Sink(), response_buffer.Turn()
-        failed = response_buffer.Holding(
-            sink, lambda status: status >= 500, turn
+        sink, claim = helper.Sink(), response_buffer.ResponseClaim()
+        failed = response_buffer.BufferedResponse(
+            sink, lambda status: status >= 500, claim
         )
         await failed.start(head(0, 500))
         await failed.end()
-        assert failed.holds
+        assert failed.is_withheld
         assert not sink.begun
         assert (await failed.flush()).ending.status == 500
         assert sink.ended == 1
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -439,7 +439,7 @@
             await caller.send(b"GET /a/ HTTP/1.1\r\nhost: h\r\n\r\n")
             await helper.until(
                 lambda: any(
-                    passage._turn.taken_by is not None
+                    passage._claim.owner is not None
                     for passage in one.forwarder._passages
                 )
             )
