--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -63,9 +63,9 @@
         self.gone = False
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         """See `exchange.Sink`."""
-        return self._sink.begun
+        return self._sink.has_started
 
     async def start(self, head: exchange.Head) -> None:
         """See `exchange.Sink`."""
--- a/forklift/shell/exchange.py
+++ b/forklift/shell/exchange.py
@@ -126,7 +126,7 @@
     """Where an answer goes: a caller, or a peer that asked."""
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         """Whether the head was passed on, so that no other may be."""
 
     async def start(self, head: Head) -> None:
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -138,7 +138,7 @@
         """Sends the request until it is answered or given up."""
         self._balancer.record_request(self._request.service, self._now())
         result = await self._go_in_time()
-        if self._held is not None and not self._sink.begun:
+        if self._held is not None and not self._sink.has_started:
             return await self._held.flush()
         if result.ending.outcome is not Outcome.ANSWERED:
             self._tell_why()
@@ -263,7 +263,7 @@
     @property
     def _again(self) -> bool:
         """Whether the request can still be sent from its start."""
-        return self._request.body.again and not self._sink.begun
+        return self._request.body.again and not self._sink.has_started
 
     async def _go(self) -> exchange.Result:
         result = exchange.not_run(Reason.NO_TARGET, RETRY_AFTER)
@@ -475,7 +475,7 @@
             # Also where this process ends while it waits for its turn.
             if buffered.is_withheld:
                 self._held = buffered
-            if not buffered.begun:
+            if not buffered.has_started:
                 self._claim.release(buffered)
             load = result.load if result is not None else None
             if buffered.length > 0:
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -275,7 +275,7 @@
         the stop up to its bound.
         """
         if self._ingress.stopping and self._answers:
-            self._reading = self._reading and self._answers[-1].begun
+            self._reading = self._reading and self._answers[-1].has_started
         return self._reading
 
     async def _settle(self) -> None:
@@ -490,7 +490,7 @@
         self._desk.on_result(request, result, seconds)
         if result.ending.outcome is Outcome.ANSWERED:
             return
-        if answer.begun:
+        if answer.has_started:
             raise wire.Lost("the answer broke off")
         await self._problem(answer, result, request.id)
 
--- a/forklift/shell/response_buffer.py
+++ b/forklift/shell/response_buffer.py
@@ -41,14 +41,14 @@
         self._whole = False
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         """See `exchange.Sink`."""
-        return self._sink.begun
+        return self._sink.has_started
 
     @property
     def is_withheld(self) -> bool:
         """Whether a whole answer is held back."""
-        return self._head is not None and self._whole and not self.begun
+        return self._head is not None and self._whole and not self.has_started
 
     @property
     def length(self) -> int:
--- a/forklift/shell/response_writer.py
+++ b/forklift/shell/response_writer.py
@@ -31,7 +31,7 @@
         self.method = method
         # The head waits for the first bytes of the body: one packet, not two.
         self._unsent = b""
-        self.begun = False
+        self.has_started = False
         self._newest = 0
         self.status = 0
         self.over = asyncio.get_running_loop().create_future()
@@ -46,7 +46,7 @@
             sent.append((b"transfer-encoding", b"chunked"))
         if self._last(self) and not http.closes(sent):
             sent.append((b"connection", b"close"))
-        self.begun = True
+        self.has_started = True
         self.status = head.status
         response = h11.Response(status_code=head.status, headers=sent)
         self._unsent = self.protocol.send(response)
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -130,7 +130,7 @@
                 return await self._ask_once(link, start, request, sink)
         except TimeoutError:
             result = exchange.unknown(Reason.TIMEOUT)
-        if request.idempotent or sink.begun:
+        if request.idempotent or sink.has_started:
             return result
         if await self._fence(selection.process, seq, to_boot):
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
@@ -155,9 +155,9 @@
             await asyncio.wait(
                 (answer, silence), return_when=asyncio.FIRST_COMPLETED
             )
-            if not answer.done() and not sink.begun:
+            if not answer.done() and not sink.has_started:
                 around = self._fence_around(process, start.seq, link.peer.boot)
-                if await around and not sink.begun:
+                if await around and not sink.has_started:
                     return exchange.not_run(Reason.FENCED)
             result = await answer
         finally:
@@ -165,7 +165,7 @@
             answer.cancel()
         lost = result.ending.reason is Reason.PEER_LOST
         unknown = result.ending.outcome is Outcome.UNKNOWN
-        if not (lost and unknown) or sink.begun:
+        if not (lost and unknown) or sink.has_started:
             return result
         if await self._fence(process, start.seq, link.peer.boot):
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
--- a/forklift/shell/served.py
+++ b/forklift/shell/served.py
@@ -28,11 +28,11 @@
         self._stream = stream
         self._request_id = request_id
         self.sending = framing.Sending(framing.WINDOW)
-        self.begun = False
+        self.has_started = False
 
     async def start(self, head: exchange.Head) -> None:
         """See `exchange.Sink`."""
-        self.begun = True
+        self.has_started = True
         start = messages.ResponseStart(
             self._stream,
             self._request_id,
--- a/test/helper.py
+++ b/test/helper.py
@@ -19,13 +19,13 @@
     """Caller or peer that records the response that it receives."""
 
     def __init__(self):
-        self.begun = False
+        self.has_started = False
         self.heads: list[exchange.Head] = []
         self.body = b""
         self.ended = 0
 
     async def start(self, head: exchange.Head) -> None:
-        self.begun = True
+        self.has_started = True
         self.heads.append(head)
 
     async def data(self, piece: bytes) -> None:
--- a/test/test_response_buffer.py
+++ b/test/test_response_buffer.py
@@ -60,7 +60,7 @@
         await failed.start(head(0, 500))
         await failed.end()
         assert failed.is_withheld
-        assert not sink.begun
+        assert not sink.has_started
         assert (await failed.flush()).ending.status == 500
         assert sink.ended == 1
 
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -21,13 +21,13 @@
     """Keeps what is passed on."""
 
     def __init__(self):
-        self.begun = False
+        self.has_started = False
         self.head = None
         self.body = b""
         self.whole = False
 
     async def start(self, head: exchange.Head) -> None:
-        self.begun = True
+        self.has_started = True
         self.head = head
 
     async def data(self, piece: bytes) -> None:
@@ -112,7 +112,7 @@
 def test_a_broken_answer_never_begins(fault):
     _, pool, sinks, outcomes = play(fault)
     assert outcomes == [(upstream.AnswerBroken, Reason.TARGET_BROKE)]
-    assert not sinks[0].begun
+    assert not sinks[0].has_started
     assert pool.open == 0
 
 
@@ -144,7 +144,7 @@
 def test_a_refusal_is_not_run(fault, reason):
     _, _, sinks, outcomes = play(fault)
     assert outcomes == [(pools.NotSent, reason)]
-    assert not sinks[0].begun
+    assert not sinks[0].has_started
 
 
 def test_a_failure_of_its_own_is_passed_on_as_it_is():
