--- a/forklift/shell/exchange.py
+++ b/forklift/shell/exchange.py
@@ -15,7 +15,7 @@
 INLINE_BYTES = 16_384
 
 
-class BodyBroken(errors.ForkliftError):
+class IncompleteBody(errors.ForkliftError):
     """A body ended before it was complete."""
 
     def __init__(self, detail: str):
@@ -27,33 +27,33 @@
 
     def __init__(
         self,
-        first: bytes = b"",
+        prefix: bytes = b"",
         rest: AsyncIterator[bytes] | None = None,
     ):
-        self.first = first
+        self.prefix = prefix
         self._rest = rest
-        self.touched = False
+        self.consumed = False
 
     @property
     def complete(self) -> bool:
-        """Whether `first` is all of it."""
+        """Whether `prefix` is all of it."""
         return self._rest is None
 
     @property
-    def again(self) -> bool:
+    def replayable(self) -> bool:
         """Whether it can be sent again from its start."""
-        return self.complete or not self.touched
+        return self.complete or not self.consumed
 
-    async def pieces(self) -> AsyncIterator[bytes]:
+    async def chunks(self) -> AsyncIterator[bytes]:
         """The whole body in pieces.
 
         Raises:
-            BodyBroken: It ended early.
+            IncompleteBody: It ended early.
         """
-        if self.first:
-            yield self.first
+        if self.prefix:
+            yield self.prefix
         if self._rest is not None:
-            self.touched = True
+            self.consumed = True
             async for piece in self._rest:
                 yield piece
 
@@ -198,14 +198,14 @@
     return Result(ending, load, target)
 
 
-class Pieces:
+class BodyStream:
     """A stream of body pieces between a producer and one consumer.
 
-    The producer is bounded by the credit that `on_taken` gives back.
+    The producer is bounded by the credit that `on_consumed` gives back.
     """
 
-    def __init__(self, on_taken: Callable[[int], None]):
-        self._on_taken = on_taken
+    def __init__(self, on_consumed: Callable[[int], None]):
+        self._on_consumed = on_consumed
         self._pieces: list[bytes] = []
         self._ended = False
         self._broken = ""
@@ -230,17 +230,17 @@
         """Yields the pieces in order.
 
         Raises:
-            BodyBroken: The producer broke off.
+            IncompleteBody: The producer broke off.
         """
         while True:
             while self._pieces:
                 piece = self._pieces.pop(0)
                 self.held -= len(piece)
                 yield piece
-                self._on_taken(len(piece))
+                self._on_consumed(len(piece))
             if self._ended:
                 return
             if self._broken:
-                raise BodyBroken(self._broken)
+                raise IncompleteBody(self._broken)
             self._news.clear()
             await self._news.wait()
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -240,7 +240,7 @@
     def _kilobytes(self) -> float:
         """Size of the request and of its answer, as far as known."""
         request = self._request
-        sent = max(request.length, len(request.body.first))
+        sent = max(request.length, len(request.body.prefix))
         return (
             sent + self._balancer.response_sizes.mean_bytes(request.route)
         ) / 1024
@@ -263,7 +263,7 @@
     @property
     def _again(self) -> bool:
         """Whether the request can still be sent from its start."""
-        return self._request.body.again and not self._sink.has_started
+        return self._request.body.replayable and not self._sink.has_started
 
     async def _go(self) -> exchange.Result:
         result = exchange.not_run(Reason.NO_TARGET, RETRY_AFTER)
@@ -384,7 +384,7 @@
     ) -> racing.Attempt:
         # Tells answers that another target may replace.
         is_failure = None
-        if self._request.idempotent and self._request.body.again:
+        if self._request.idempotent and self._request.body.replayable:
             is_failure = self._program.is_failure
         buffered = response_buffer.BufferedResponse(
             self._sink, is_failure, self._claim
@@ -395,7 +395,7 @@
     def _patience(self) -> float | None:
         """Seconds until a second attempt; None where there is none."""
         request = self._request
-        once = not request.idempotent or not request.body.again
+        once = not request.idempotent or not request.body.replayable
         if once or self._retry_state.attempts + 2 > request.attempts:
             return None
         if self._alone:
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -229,7 +229,7 @@
         except (wire.Lost, ConnectionError):
             self._hang_up()
             self.connection.abort()
-        except (TimeoutError, exchange.BodyBroken):
+        except (TimeoutError, exchange.IncompleteBody):
             # Only this request broke off: those before it have their answers.
             await self._settle()
             await self._part()
@@ -441,8 +441,8 @@
             http.value(headers, b"host") or b"",
             event.target,
             caller,
-            len(body.first) if body.complete else http.content_length(headers),
-            body.first[: exchange.INLINE_BYTES],
+            len(body.prefix) if body.complete else http.content_length(headers),
+            body.prefix[: exchange.INLINE_BYTES],
         )
 
     async def _serve(
--- a/forklift/shell/peers.py
+++ b/forklift/shell/peers.py
@@ -38,7 +38,7 @@
     def __init__(self, idempotent: bool):
         self.idempotent = idempotent
         self.head: asyncio.Future = asyncio.get_running_loop().create_future()
-        self.pieces: exchange.Pieces | None = None
+        self.pieces: exchange.BodyStream | None = None
         self.sending = framing.Sending(0)
         self.failure: messages.Failure | None = None
 
@@ -188,7 +188,7 @@
         try:
             async for piece in asked.pieces:
                 await sink.data(piece)
-        except exchange.BodyBroken:
+        except exchange.IncompleteBody:
             if asked.failure is not None:
                 return _failed(asked.failure)
             return exchange.unknown(messages.Reason.PEER_LOST)
@@ -201,13 +201,13 @@
         try:
             # Nothing is taken of the body before the guard asks for it.
             await asked.sending.take(0)
-            async for piece in request.body.pieces():
+            async for piece in request.body.chunks():
                 await framing.send_pieces(
                     self._frames, asked.sending, stream, piece
                 )
             self._frames.send(messages.BodyChunk(stream, b"", True))
         except (
-            exchange.BodyBroken,
+            exchange.IncompleteBody,
             h11.ProtocolError,
             framing.Lost,
             wire.Lost,
@@ -271,7 +271,9 @@
         asked = self._asked_by_id.get(head.id)
         if asked is None or asked.head.done():
             return
-        asked.pieces = exchange.Pieces(lambda size: self._credit(head.id, size))
+        asked.pieces = exchange.BodyStream(
+            lambda size: self._credit(head.id, size)
+        )
         asked.head.set_result(head)
 
     def _failure(self, failure: messages.Failure) -> None:
--- a/forklift/shell/request_body.py
+++ b/forklift/shell/request_body.py
@@ -32,7 +32,7 @@
 
         Raises:
             errors.BadRequest: It is larger than allowed.
-            exchange.BodyBroken: It ended early.
+            exchange.IncompleteBody: It ended early.
         """
         length = http.content_length(http.fields(event))
         if length > self._limits().body_bytes:
@@ -57,12 +57,12 @@
             elif isinstance(event, h11.Data):
                 taken += len(event.data)
                 if taken > self._limits().body_bytes:
-                    raise exchange.BodyBroken("larger than allowed")
+                    raise exchange.IncompleteBody("larger than allowed")
                 yield bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 return
             else:
-                raise exchange.BodyBroken("the caller closed")
+                raise exchange.IncompleteBody("the caller closed")
 
     async def _more(self, protocol: h11.Connection) -> None:
         if protocol.they_are_waiting_for_100_continue:
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -219,7 +219,7 @@
     remaining: float,
     required_health: admission.RequiredHealth,
 ) -> messages.RequestStart:
-    small = len(request.body.first) < FOLLOWING_BYTES
+    small = len(request.body.prefix) < FOLLOWING_BYTES
     complete = request.body.complete and small
     return messages.RequestStart(
         id=link.next_id(),
@@ -234,7 +234,7 @@
         idempotent=request.idempotent,
         incarnation=link.incarnation,
         length=request.length,
-        body=request.body.first if complete else b"",
+        body=request.body.prefix if complete else b"",
         complete=complete,
         route=request.route,
         origin=request.origin,
--- a/forklift/shell/served.py
+++ b/forklift/shell/served.py
@@ -90,7 +90,7 @@
         self._on_refused = on_refused
         self._task_by_id: dict[int, asyncio.Task] = {}
         self._answerer_by_id: dict[int, Answerer] = {}
-        self._pieces_by_id: dict[int, exchange.Pieces] = {}
+        self._pieces_by_id: dict[int, exchange.BodyStream] = {}
         self._relays: set[asyncio.Task] = set()
         self.last_start = float("-inf")
         self.peer: messages.Hello | None = None
@@ -216,7 +216,7 @@
         self._task_by_id[start.id] = task
 
     async def _rest(self, start: messages.RequestStart):
-        pieces = exchange.Pieces(lambda size: self._credit(start.id, size))
+        pieces = exchange.BodyStream(lambda size: self._credit(start.id, size))
         self._pieces_by_id[start.id] = pieces
         self._credit(start.id, framing.WINDOW)
         async for piece in pieces:
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -190,8 +190,8 @@
             headers.append((names.organisation, request.organisation.encode()))
         if request.length < 0 and not request.body.complete:
             headers.append((b"transfer-encoding", b"chunked"))
-        elif request.length != 0 or request.body.first:
-            length = max(request.length, len(request.body.first))
+        elif request.length != 0 or request.body.prefix:
+            length = max(request.length, len(request.body.prefix))
             headers.append((b"content-length", str(length).encode()))
         return h11.Request(
             method=request.method, target=request.path, headers=headers
@@ -199,20 +199,20 @@
 
     def _inline(self, protocol: h11.Connection) -> bytes:
         data = b""
-        if self._request.body.first:
-            data = protocol.send(h11.Data(self._request.body.first))
+        if self._request.body.prefix:
+            data = protocol.send(h11.Data(self._request.body.prefix))
         return data + protocol.send(h11.EndOfMessage())
 
     async def _upload(
         self, connection: wire.Connection, protocol: h11.Connection
     ) -> None:
         try:
-            async for piece in self._request.body.pieces():
+            async for piece in self._request.body.chunks():
                 connection.write(protocol.send(h11.Data(piece)))
                 await connection.drain()
             connection.write(protocol.send(h11.EndOfMessage()))
         except (
-            exchange.BodyBroken,
+            exchange.IncompleteBody,
             h11.ProtocolError,
             wire.Lost,
             TimeoutError,
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -267,7 +267,7 @@
         await rig.arrived(1)
         body = rig.requests[0].body
         assert not body.complete
-        taken = b"".join([piece async for piece in body.pieces()])
+        taken = b"".join([piece async for piece in body.chunks()])
         assert len(taken) == size
         rig.let("/a/1")
         assert (await rig.answer())[0] == 200
