--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -162,8 +162,10 @@
         self._desk = ingress.desk
         self._clock = ingress.clock
         self.connection = connection
-        self._receiver = request_body.Receiver(connection, self._desk.limits)
-        self._answers: list[response_writer.Answer] = []
+        self._body_reader = request_body.BodyReader(
+            connection, self._desk.limits
+        )
+        self._answers: list[response_writer.ResponseWriter] = []
         self._tasks: set[asyncio.Task] = set()
         self._leftover = b""
         # Whether a part of a request was read, and the rest is awaited.
@@ -251,7 +253,7 @@
         finally:
             self.connection.close()
 
-    def last(self, answer: response_writer.Answer) -> bool:
+    def last(self, answer: response_writer.ResponseWriter) -> bool:
         """Whether the connection closes after an answer."""
         if self._answers and self._answers[-1] is not answer:
             return False
@@ -259,7 +261,7 @@
             self._reading = False
         return not self._reading
 
-    def _read_behind(self, answer: response_writer.Answer) -> bool:
+    def _read_behind(self, answer: response_writer.ResponseWriter) -> bool:
         """Whether the caller has begun a further request."""
         protocol = answer.protocol
         if protocol.their_state is not h11.DONE:
@@ -291,7 +293,7 @@
         unsent = self.connection.unsent
         try:
             async with asyncio.timeout(
-                response_writer.STALL if unsent else LINGER
+                response_writer.STALL_TIMEOUT if unsent else LINGER
             ):
                 await self.connection.gone()
         except TimeoutError:
@@ -316,14 +318,14 @@
             # The answer before it says, or said, that the connection closes.
             return False
         http.check_request(event)
-        turn = self._answers[-1].over if self._answers else None
-        answer = response_writer.Answer(
+        turn = self._answers[-1].finished if self._answers else None
+        answer = response_writer.ResponseWriter(
             self.connection, self.last, protocol, event.method, turn
         )
         self._answers.append(answer)
         self._idle_since = None
         try:
-            body = await self._receiver.body(protocol, event)
+            body = await self._body_reader.read(protocol, event)
             request, problem = self._request(event, body)
         except BaseException:
             self._answers.remove(answer)
@@ -449,7 +451,7 @@
         self,
         request: exchange.Request | None,
         problem: Reason | None,
-        answer: response_writer.Answer,
+        answer: response_writer.ResponseWriter,
     ) -> None:
         self._ingress.running += 1
         try:
@@ -469,7 +471,7 @@
             self._break()
         finally:
             self._ingress.running -= 1
-            answer.done()
+            answer.release_next()
             self._answers.remove(answer)
             if not self._answers:
                 self._idle_since = self._clock.monotonic()
@@ -482,7 +484,7 @@
         self.connection.abort()
 
     async def _run(
-        self, request: exchange.Request, answer: response_writer.Answer
+        self, request: exchange.Request, answer: response_writer.ResponseWriter
     ) -> None:
         started = self._clock.monotonic()
         result = await self._desk.handle(request, answer)
@@ -496,7 +498,7 @@
 
     async def _problem(
         self,
-        answer: response_writer.Answer,
+        answer: response_writer.ResponseWriter,
         result: exchange.Result,
         request_id: str,
     ) -> None:
--- a/forklift/shell/request_body.py
+++ b/forklift/shell/request_body.py
@@ -14,7 +14,7 @@
 from forklift.shell import wire
 
 
-class Receiver:
+class BodyReader:
     """Reads bodies from one connection of a caller."""
 
     def __init__(
@@ -25,7 +25,7 @@
         self._connection = connection
         self._limits = limits
 
-    async def body(
+    async def read(
         self, protocol: h11.Connection, event: h11.Request
     ) -> exchange.Body:
         """The body of a request; a large one is read as it is taken.
@@ -68,6 +68,6 @@
         if protocol.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             self._connection.write(protocol.send(go_on))
-        async with asyncio.timeout(response_writer.STALL):
+        async with asyncio.timeout(response_writer.STALL_TIMEOUT):
             data = await self._connection.read()
         protocol.receive_data(data)
--- a/forklift/shell/response_writer.py
+++ b/forklift/shell/response_writer.py
@@ -10,16 +10,16 @@
 from forklift.shell import wire
 
 # Seconds a caller may go without taking or giving a byte of a body.
-STALL = 20.0
+STALL_TIMEOUT = 20.0
 
 
-class Answer:
+class ResponseWriter:
     """The sink of an answer that goes to a caller, in its turn."""
 
     def __init__(
         self,
         connection: wire.Connection,
-        last: Callable[["Answer"], bool],
+        last: Callable[["ResponseWriter"], bool],
         protocol: h11.Connection,
         method: bytes,
         turn: asyncio.Future | None,
@@ -34,7 +34,7 @@
         self.has_started = False
         self._newest = 0
         self.status = 0
-        self.over = asyncio.get_running_loop().create_future()
+        self.finished = asyncio.get_running_loop().create_future()
 
     async def start(self, head: exchange.Head) -> None:
         """See `exchange.Sink`."""
@@ -76,7 +76,7 @@
         if not self._connection.congested:
             return
         try:
-            async with asyncio.timeout(STALL):
+            async with asyncio.timeout(STALL_TIMEOUT):
                 await self._connection.drain()
         except TimeoutError as error:
             raise wire.Lost("the caller takes no bytes") from error
@@ -85,10 +85,10 @@
         """See `exchange.Sink`."""
         self._flush(self.protocol.send(h11.EndOfMessage()))
 
-    def done(self) -> None:
+    def release_next(self) -> None:
         """Lets the next answer go."""
-        if not self.over.done():
-            self.over.set_result(None)
+        if not self.finished.done():
+            self.finished.set_result(None)
 
     def _flush(self, data: bytes) -> None:
         if self._unsent or data:
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -440,7 +440,7 @@
         protocol.next_event()
         turn = asyncio.get_running_loop().create_future()
         taking = Taking()
-        answer = response_writer.Answer(
+        answer = response_writer.ResponseWriter(
             taking, lambda _: True, protocol, b"GET", turn
         )
 
@@ -475,13 +475,13 @@
 @pytest.mark.parametrize("how", ["stalls", "too large"])
 def test_a_broken_body_does_not_cut_the_answer_before_it(monkeypatch, how):
     """As with a late head: the request before it was passed on."""
-    monkeypatch.setattr(response_writer, "STALL", 0.05)
+    monkeypatch.setattr(response_writer, "STALL_TIMEOUT", 0.05)
     body = {
         "stalls": b"content-length: 4\r\n\r\nab",
         "too large": b"transfer-encoding: chunked\r\n\r\n65\r\n" + b"x" * 101,
     }
     ended = []
-    whole = request_body.Receiver.body
+    whole = request_body.BodyReader.read
 
     async def noted(*arguments):
         try:
@@ -492,7 +492,7 @@
     async def work(rig):
         rig.send("/a/1")
         await rig.arrived(1)
-        monkeypatch.setattr(request_body.Receiver, "body", noted)
+        monkeypatch.setattr(request_body.BodyReader, "read", noted)
         rig.writer.write(b"PUT /a/2 HTTP/1.1\r\nhost: h\r\n" + body[how])
         await helper.until(lambda: ended)
         for _ in range(100):
