--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -170,7 +170,7 @@
             self.keeper.read,
         )
         self.directory = self.neighbours.directory
-        self.limiting = rate_limiting.Limiting(
+        self.rate_limiter = rate_limiting.AsyncLimiter(
             self.directory,
             _limit_bounds(self.settings),
             self.active_catalog,
@@ -327,7 +327,7 @@
         self.announced.settings = read
         self.policy = load_policy(read)
         self.balancer.set_retry_limits(_bounds(self.settings))
-        self.limiting.limiter.set_bounds(_limit_bounds(read))
+        self.rate_limiter.limiter.set_bounds(_limit_bounds(read))
         self.balancer.far_cost = read.limits.far_cost
 
     def running(self) -> int:
@@ -387,13 +387,15 @@
     ) -> exchange.Result:
         self._observe()
         self.ticker.nudge()
-        wait = await self.limiting.admit(request.organisation)
+        wait = await self.rate_limiter.admit(request.organisation)
         if wait is not None:
-            self.limiting.tell(request.id, request.organisation, wait)
+            self.rate_limiter.log_rejection(
+                request.id, request.organisation, wait
+            )
             return exchange.not_run(Reason.LIMITED, wait)
         result = await self.forwarder.run(request, sink)
         if result.ending.outcome is messages.Outcome.NOT_RUN:
-            self.limiting.refund(request.organisation)
+            self.rate_limiter.refund(request.organisation)
         return result
 
     def _find(
@@ -564,10 +566,10 @@
         )
 
     def _heard(self, message: messages.Control) -> None:
-        if isinstance(message, rate_limiting.KINDS):
-            self.limiting.receive(message)
+        if isinstance(message, rate_limiting.MESSAGE_TYPES):
+            self.rate_limiter.receive(message)
             return
-        self.limiting.limiter.mark_alive(message.sender.name)
+        self.rate_limiter.limiter.mark_alive(message.sender.name)
         self.neighbours.receive(message)
         self.configuring.look()
         sender = message.sender
@@ -609,7 +611,7 @@
             self._ask_for_work(now)
             self.keeper.tick()
         self.neighbours.tick(now)
-        self.limiting.tick(now)
+        self.rate_limiter.tick(now)
         self.follower.look()
 
     def _ask_for_work(self, now: float) -> None:
--- a/forklift/shell/rate_limiting.py
+++ b/forklift/shell/rate_limiting.py
@@ -20,21 +20,21 @@
 
 # Seconds after which a question that was not answered is asked again, and those
 # for which a request waits after that: a few times the way to any process.
-ASK_AGAIN = 0.03
-GIVE_UP = 0.05
+ASK_RETRY_DELAY = 0.03
+ASK_TIMEOUT = 0.05
 # Seconds after which to come back when nobody said anything better, and the
 # least that is told.
-WAIT_UNKNOWN = 0.5
-WAIT_LEAST = 0.1
+DEFAULT_RETRY_AFTER = 0.5
+MIN_RETRY_AFTER = 0.1
 
-KINDS = (
+MESSAGE_TYPES = (
     limit_messages.Delegation,
     limit_messages.Allocation,
     limit_messages.Handover,
 )
 
 
-class Limiting:
+class AsyncLimiter:
     """The asyncio side of the limits."""
 
     def __init__(
@@ -42,7 +42,7 @@
         directory: membership.Directory,
         bounds: rate_limits.Bounds,
         active_catalog: catalog.ActiveCatalog,
-        counted: Callable[[], bool],
+        fleet_size_known: Callable[[], bool],
         send: Callable[[str, messages.Control], object],
         clock: clocks.SystemClock,
         rng: random.Random,
@@ -53,7 +53,7 @@
             directory: Who is there.
             bounds: What may be run beyond limits.
             active_catalog: Names the organisations and their limits.
-            counted: Whether the number of processes is known.
+            fleet_size_known: Whether the number of processes is known.
             send: Hands a message to the network.
             clock: Time.
             rng: Spreads those that come back.
@@ -63,7 +63,7 @@
             bounds,
             lambda name: active_catalog.catalog.organisation(name),
             lambda: active_catalog.catalog.has_rate_limits,
-            counted,
+            fleet_size_known,
             self._tokens,
         )
         self._active_catalog = active_catalog
@@ -91,9 +91,11 @@
         if wait is None:
             return None
         # Those that were refused together are to return one by one.
-        return max(WAIT_LEAST, wait) * (1 + self._rng.random())
+        return max(MIN_RETRY_AFTER, wait) * (1 + self._rng.random())
 
-    def tell(self, request_id: str, organisation: str, wait: float) -> None:
+    def log_rejection(
+        self, request_id: str, organisation: str, wait: float
+    ) -> None:
         """Logs by which limit a request was refused."""
         now = self._clock.monotonic()
         current = self._active_catalog.catalog
@@ -136,12 +138,12 @@
             # Those that come in this turn of the loop are asked for at once.
             asyncio.get_running_loop().call_soon(self._ask, organisation)
         try:
-            for seconds in (ASK_AGAIN, GIVE_UP):
+            for seconds in (ASK_RETRY_DELAY, ASK_TIMEOUT):
                 done, _ = await asyncio.wait([told], timeout=seconds)
                 if done:
                     return told.result()
                 self._ask(organisation)
-            return WAIT_UNKNOWN
+            return DEFAULT_RETRY_AFTER
         finally:
             if told in waiting:
                 waiting.remove(told)
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -48,7 +48,7 @@
 
 
 def _organisations(proxy) -> tuple[report.OrganisationUsage, ...]:
-    quota = proxy.limiting.limiter.quota
+    quota = proxy.rate_limiter.limiter.quota
     now = proxy.clock.monotonic()
     found = []
     for name, use in quota.usage_by_organisation.items():
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -328,7 +328,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         back = []
-        one.limiting.refund = back.append
+        one.rate_limiter.refund = back.append
         one.beside.site_by_target["t0"].controller.drain()
         answer = await request_until_admitted(
             fleet, ("x-request-timeout-ms", "200")
