--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Found:
+class RouteMatch:
     """Where a request goes.
 
     Attributes:
@@ -64,46 +64,46 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Desk:
+class Hooks:
     """What an ingress asks of the process it belongs to.
 
     Attributes:
         header_names: Names of header fields.
         limits: Bounds on callers now.
-        find: Finds the route of a request by host, path and the keys that it
+        find_route: Finds the route of a request by host, path and the keys that it
             carries; None when there is none. Raises
             `organisations.UnknownCaller`.
-        known: Whether any configuration is in force.
+        is_configured: Whether any configuration is in force.
         handle: Runs a request.
         next_seq: Numbers requests.
         on_result: Takes note of an ended request: service, result, seconds.
-        origin: Service on this instance, now.
-        on_problem: Takes note of one that is refused before it is a request.
+        origin_service: Service on this instance, now.
+        on_rejected: Takes note of one that is refused before it is a request.
     """
 
     header_names: header_fields.HeaderNames
     limits: Callable[[], catalogs.CallerLimits]
-    find: Callable[[str, str, tuple[bytes, ...]], Found | None]
-    known: Callable[[], bool]
+    find_route: Callable[[str, str, tuple[bytes, ...]], RouteMatch | None]
+    is_configured: Callable[[], bool]
     handle: Handler
     next_seq: Callable[[], int]
     on_result: Callable[[exchange.Request, exchange.Result, float], None]
-    origin: Callable[[], str]
-    on_problem: Callable[[Reason], None] = lambda reason: None
+    origin_service: Callable[[], str]
+    on_rejected: Callable[[Reason], None] = lambda reason: None
 
 
 class Ingress:
     """Accepts callers and turns their bytes into requests."""
 
-    def __init__(self, desk: Desk, most: int, clock):
-        self.desk = desk
+    def __init__(self, hooks: Hooks, max_connections: int, clock):
+        self.hooks = hooks
         self.clock = clock
-        self._most = most
+        self._max_connections = max_connections
         self._numbers = itertools.count(1)
         self._stem = secrets.token_hex(4)
         self._sessions: set[_Session] = set()
         self.stopping = False
-        self.ended = False
+        self.closed = False
         self.running = 0
         self.refused = 0
 
@@ -114,11 +114,11 @@
 
     def accept(self, connection: wire.Connection) -> None:
         """Serves a new connection, or refuses it when there are too many."""
-        if self.ended:
+        if self.closed:
             # Nobody waits for what it would send.
             connection.close()
             return
-        if len(self._sessions) >= self._most:
+        if len(self._sessions) >= self._max_connections:
             self.refused += 1
             connection.write(_TOO_MANY)
             connection.close()
@@ -130,7 +130,7 @@
 
     def tick(self, now: float) -> None:
         """Ends connections that were idle or silent for too long."""
-        limits = self.desk.limits()
+        limits = self.hooks.limits()
         for session in list(self._sessions):
             session.check(limits, now)
 
@@ -140,14 +140,14 @@
             session.close_if_idle()
 
     @property
-    def owing(self) -> int:
+    def pending_connections(self) -> int:
         """Connections whose callers are owed an answer, or part of one."""
         return sum(1 for session in self._sessions if session.owes)
 
-    def refuse_half_read(self) -> None:
+    def reject_incomplete_requests(self) -> None:
         """Answers requests that did not arrive whole before the end."""
         for session in list(self._sessions):
-            session.refuse_half_read()
+            session.reject_incomplete_request()
 
     def new_id(self) -> str:
         """An id for a request that came without one."""
@@ -159,11 +159,11 @@
 
     def __init__(self, ingress: Ingress, connection: wire.Connection):
         self._ingress = ingress
-        self._desk = ingress.desk
+        self._hooks = ingress.hooks
         self._clock = ingress.clock
         self.connection = connection
         self._body_reader = request_body.BodyReader(
-            connection, self._desk.limits
+            connection, self._hooks.limits
         )
         self._answers: list[response_writer.ResponseWriter] = []
         self._tasks: set[asyncio.Task] = set()
@@ -195,7 +195,7 @@
         if not (self.owes or self.connection.closed):
             self.connection.close()
 
-    def refuse_half_read(self) -> None:
+    def reject_incomplete_request(self) -> None:
         """Answers a request that did not arrive whole; it was not sent on."""
         if self._half_read:
             self.connection.interrupt(_half_read())
@@ -309,7 +309,7 @@
     async def _read_one(self) -> bool:
         protocol = h11.Connection(
             h11.SERVER,
-            max_incomplete_event_size=self._desk.limits().header_bytes,
+            max_incomplete_event_size=self._hooks.limits().header_bytes,
         )
         event = await self._read_head(protocol)
         if event is None:
@@ -374,7 +374,7 @@
         return event
 
     def _check_size(self, size: int) -> None:
-        if size > self._desk.limits().header_bytes:
+        if size > self._hooks.limits().header_bytes:
             raise errors.BadRequest(
                 "the head is too large", "send fewer headers", 431
             )
@@ -385,17 +385,17 @@
         self, event: h11.Request, body: exchange.Body
     ) -> tuple[exchange.Request | None, Reason | None]:
         headers = http.fields(event)
-        names = self._desk.header_names
+        names = self._hooks.header_names
         given = http.value(headers, names.request_id)
         request_id = given.decode("latin-1") if given else ""
         request_id = request_id or self._ingress.new_id()
         host = (http.value(headers, b"host") or b"").decode("latin-1")
         path = event.target.decode("latin-1")
-        if not self._desk.known():
+        if not self._hooks.is_configured():
             return None, Reason.NO_CONFIGURATION
         try:
             keys = http.values(headers, names.key)
-            found = self._desk.find(host, path, keys)
+            found = self._hooks.find_route(host, path, keys)
         except organisations.UnknownCaller:
             return None, Reason.UNKNOWN_CALLER
         if found is None:
@@ -407,7 +407,7 @@
         now = self._clock.monotonic()
         request = exchange.Request(
             id=request_id,
-            seq=self._desk.next_seq(),
+            seq=self._hooks.next_seq(),
             service=found.service,
             route=route.name,
             method=event.method,
@@ -417,7 +417,7 @@
             body=body,
             deadline=now + allowed,
             idempotent=route.idempotent,
-            origin=self._desk.origin(),
+            origin=self._hooks.origin_service(),
             priority=found.priority,
             soft_deadline=now + route.objective,
             attempts=route.attempts,
@@ -433,7 +433,7 @@
         body: exchange.Body,
         organisation: str,
     ) -> bytes:
-        names = self._desk.header_names.credentials
+        names = self._hooks.header_names.credentials
         caller = tuple(http.value(headers, name) or b"" for name in names)
         if organisation:
             # One that has two keys is one caller.
@@ -456,8 +456,8 @@
         self._ingress.running += 1
         try:
             if request is None:
-                self._desk.on_problem(problem)
-                result = exchange.not_run(problem, RETRY_UNKNOWN)
+                self._hooks.on_rejected(problem)
+                result = exchange.not_run(problem, DEFAULT_RETRY_AFTER)
                 await self._problem(answer, result, "")
             else:
                 await self._run(request, answer)
@@ -487,9 +487,9 @@
         self, request: exchange.Request, answer: response_writer.ResponseWriter
     ) -> None:
         started = self._clock.monotonic()
-        result = await self._desk.handle(request, answer)
+        result = await self._hooks.handle(request, answer)
         seconds = self._clock.monotonic() - started
-        self._desk.on_result(request, result, seconds)
+        self._hooks.on_result(request, result, seconds)
         if result.ending.outcome is Outcome.ANSWERED:
             return
         if answer.has_started:
@@ -507,7 +507,7 @@
         problem = http.problem(ending.outcome, reason, request_id)
         headers = [(b"content-type", http.PROBLEM)]
         if problem.status in (http.COME_BACK, http.TOO_MANY):
-            wait = max(LEAST_RETRY_AFTER, ending.retry_after)
+            wait = max(MIN_RETRY_AFTER, ending.retry_after)
             headers.append((b"retry-after", f"{wait:.2f}".encode()))
         if answer.protocol.their_state is not h11.DONE:
             self._reading = False
@@ -553,8 +553,8 @@
 
 
 # Seconds after which to come back when nothing better is known.
-LEAST_RETRY_AFTER = 0.1
-RETRY_UNKNOWN = 0.5
+MIN_RETRY_AFTER = 0.1
+DEFAULT_RETRY_AFTER = 0.5
 
 
 def _late_head() -> errors.BadRequest:
@@ -577,13 +577,15 @@
     return tuple(h for h in http.end_to_end(headers) if h[0] not in ours)
 
 
-def _allowed(headers: http.Headers, name: bytes, most: float) -> float:
+def _allowed(
+    headers: http.Headers, name: bytes, max_connections: float
+) -> float:
     """Seconds the request may take: the caller's word, up to the route's."""
     given = http.value(headers, name)
     if given is None:
-        return most
+        return max_connections
     try:
-        return max(0.0, min(most, int(given) / 1000))
+        return max(0.0, min(max_connections, int(given) / 1000))
     except ValueError as error:
         raise errors.BadRequest(
             f"{name.decode()} is no number", "send whole milliseconds"
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -206,16 +206,16 @@
             self.quarantine,
         )
         self.ingress = ingress.Ingress(
-            ingress.Desk(
+            ingress.Hooks(
                 header_names=self._names,
                 limits=lambda: self.active_catalog.catalog.limits,
-                find=self._find,
-                known=lambda: self.active_catalog.loaded,
+                find_route=self._find,
+                is_configured=lambda: self.active_catalog.loaded,
                 handle=self._handle,
                 next_seq=self.forwarder.next_seq,
                 on_result=self._on_result,
-                origin=lambda: self.settings.platform.service,
-                on_problem=self.counters.record_refusal,
+                origin_service=lambda: self.settings.platform.service,
+                on_rejected=self.counters.record_refusal,
             ),
             self.settings.limits.callers,
             self.clock,
@@ -303,7 +303,7 @@
     def close_door(self) -> None:
         """Takes no new connection of a caller from now on."""
         self._servers[0].close()
-        self.ingress.ended = True
+        self.ingress.closed = True
 
     async def close(self) -> None:
         """Ends everything at once."""
@@ -342,7 +342,7 @@
         that the system has not taken.
         """
         served = sum(1 for served in self.served if served.busy)
-        return self.ingress.owing + self.beside.running + served
+        return self.ingress.pending_connections + self.beside.running + served
 
     def ready(self) -> bool:
         """Whether callers should be sent here."""
@@ -400,7 +400,7 @@
 
     def _find(
         self, host: str, path: str, keys: tuple[bytes, ...]
-    ) -> ingress.Found | None:
+    ) -> ingress.RouteMatch | None:
         current = self.active_catalog.catalog
         route = current.routes.find(host, path)
         if route is None:
@@ -408,7 +408,7 @@
         caller = None
         if current.callers is not None:
             caller = current.callers.identify(keys, route.allows_anonymous)
-        return ingress.Found(route, route.pick(self._rng), caller)
+        return ingress.RouteMatch(route, route.pick(self._rng), caller)
 
     def _evidence(self) -> None:
         """What is known of requests that crash targets has changed here."""
--- a/forklift/shell/stopping.py
+++ b/forklift/shell/stopping.py
@@ -97,7 +97,7 @@
         now = proxy.clock.monotonic()
         proxy.ingress.close_idle()
         if now >= proxy.bounds.refuse_at:
-            proxy.ingress.refuse_half_read()
+            proxy.ingress.reject_incomplete_requests()
         if not proxy.owing() or now >= proxy.bounds.until:
             return
         await asyncio.sleep(STOP_POLL)
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -35,15 +35,15 @@
         self.cancelled: list[str] = []
         self.clock = helper.FakeClock()
         self.ingress = ingress.Ingress(
-            ingress.Desk(
+            ingress.Hooks(
                 header_names=header_fields.DEFAULT,
                 limits=lambda: self.limits,
-                find=self._find,
-                known=lambda: self.known,
+                find_route=self._find,
+                is_configured=lambda: self.known,
                 handle=self._handle,
                 next_seq=lambda: 1,
                 on_result=lambda *_: None,
-                origin=lambda: "beside",
+                origin_service=lambda: "beside",
             ),
             10,
             self.clock,
@@ -80,8 +80,10 @@
     def let(self, path: str) -> None:
         self.gates[path].set_result(None)
 
-    def _find(self, host: str, path: str, keys) -> ingress.Found | None:
-        return ingress.Found(ROUTE, "s") if path.startswith("/a/") else None
+    def _find(self, host: str, path: str, keys) -> ingress.RouteMatch | None:
+        return (
+            ingress.RouteMatch(ROUTE, "s") if path.startswith("/a/") else None
+        )
 
     async def _handle(self, request, sink) -> exchange.Result:
         path = request.path.decode()
@@ -290,9 +292,11 @@
         async def handle(request, sink):
             return result
 
-        rig.ingress.desk = dataclasses.replace(rig.ingress.desk, handle=handle)
+        rig.ingress.hooks = dataclasses.replace(
+            rig.ingress.hooks, handle=handle
+        )
         for session in rig.ingress._sessions:
-            session._desk = rig.ingress.desk
+            session._hooks = rig.ingress.hooks
         rig.send("/a/1")
         found, fields, _ = await rig.answer()
         assert found == status
@@ -341,7 +345,7 @@
     """Its caller was told that no further answer comes."""
 
     async def work(rig):
-        handle = rig.ingress.desk.handle
+        handle = rig.ingress.hooks.handle
         going_on = asyncio.Event()
 
         async def slow(request, sink):
@@ -355,7 +359,7 @@
 
         await helper.until(lambda: rig.ingress.connections == 1)
         (session,) = rig.ingress._sessions
-        session._desk = dataclasses.replace(rig.ingress.desk, handle=slow)
+        session._hooks = dataclasses.replace(rig.ingress.hooks, handle=slow)
         rig.ingress.stopping = True
         rig.send("/a/1")
         head = await rig.reader.readuntil(b"\r\n\r\n")
@@ -543,7 +547,7 @@
             seen.append(request.fingerprint)
             return await run(request, sink)
 
-        one.ingress.desk = dataclasses.replace(one.ingress.desk, handle=note)
+        one.ingress.hooks = dataclasses.replace(one.ingress.hooks, handle=note)
         size = 3 * exchange.INLINE_BYTES
         for body, cut in ((b"a", 100), (b"a", size - 1), (b"b", 100)):
             await post(one, body * size, cut)
@@ -560,7 +564,7 @@
     writer.write(head + b"content-length: %d\r\n\r\n" % len(body) + body[:cut])
     await writer.drain()
     # The first piece is read by itself.
-    await helper.until(lambda: one.ingress.owing)
+    await helper.until(lambda: one.ingress.pending_connections)
     writer.write(body[cut:])
     assert (await reader.read()).startswith(b"HTTP/1.1 200")
     writer.close()
--- a/test/test_stopping.py
+++ b/test/test_stopping.py
@@ -316,8 +316,8 @@
         return exchange.answered(200, "t")
 
     async with Caller(one) as caller:
-        caller.session._desk = dataclasses.replace(
-            one.ingress.desk, handle=handle
+        caller.session._hooks = dataclasses.replace(
+            one.ingress.hooks, handle=handle
         )
         caller.writer.write(b"GET /a/ HTTP/1.1\r\nhost: h\r\n\r\n")
         await helper.until(lambda: written and not caller.session._answers)
