--- a/forklift/platform/store.py
+++ b/forklift/platform/store.py
@@ -210,7 +210,7 @@
             response = await self._client.request(
                 method, target, body, timeout=timeout
             )
-        except client.Failed as error:
+        except client.RequestFailed as error:
             self.failures += 1
             raise errors.RegistryUnavailable(str(error)) from error
         epoch = self._update_epoch(response)
--- a/forklift/shell/client.py
+++ b/forklift/shell/client.py
@@ -10,7 +10,7 @@
 from forklift.shell import wire
 
 
-class Failed(ConnectionError):
+class RequestFailed(ConnectionError):
     """No whole answer arrived.
 
     Attributes:
@@ -58,7 +58,7 @@
         """Sends one request.
 
         Raises:
-            Failed: No whole answer in time.
+            RequestFailed: No whole answer in time.
         """
         sent = False
         connection = None
@@ -76,7 +76,7 @@
             # What made it fail may have befallen those that are kept, too.
             self.close()
             detail = str(error) or type(error).__name__
-            raise Failed(detail, sent) from error
+            raise RequestFailed(detail, sent) from error
         except asyncio.CancelledError:
             if connection is not None:
                 connection.abort()
--- a/forklift/shell/http.py
+++ b/forklift/shell/http.py
@@ -11,12 +11,12 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-PROBLEM = b"application/problem+json"
+PROBLEM_MEDIA_TYPE = b"application/problem+json"
 END_OF_HEAD = b"\r\n\r\n"
 # The statuses of ours that promise that a request has not run, and tell when to
 # come back.
-COME_BACK = 503
-TOO_MANY = 429
+SERVICE_UNAVAILABLE = 503
+TOO_MANY_REQUESTS = 429
 
 # RFC 9110 section 7.6.1, and the fields that frame a message.
 _HOP_BY_HOP = frozenset(
@@ -72,7 +72,7 @@
         503, "All targets are busy", "come back after Retry-After"
     ),
     messages.Reason.LIMITED: _Advice(
-        TOO_MANY,
+        TOO_MANY_REQUESTS,
         "The organisation sends more than it may",
         "come back after Retry-After, or have its limit raised",
     ),
@@ -113,7 +113,7 @@
     """Describes a request that got no answer of a target."""
     unknown = outcome is messages.Outcome.UNKNOWN
     advice = _BY_REASON.get(reason, _UNKNOWN if unknown else _NOT_RUN)
-    if unknown and advice.status == COME_BACK:
+    if unknown and advice.status == SERVICE_UNAVAILABLE:
         # A reason to come back holds only for what has not run.
         advice = _UNKNOWN
     return Problem(
@@ -214,6 +214,6 @@
     return int(declared) if declared is not None else 0
 
 
-def closes(headers: list[tuple[bytes, bytes]]) -> bool:
+def has_connection_header(headers: list[tuple[bytes, bytes]]) -> bool:
     """Whether a field says what becomes of the connection."""
     return any(name == b"connection" for name, _ in headers)
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -70,8 +70,8 @@
     Attributes:
         header_names: Names of header fields.
         limits: Bounds on callers now.
-        find_route: Finds the route of a request by host, path and the keys that it
-            carries; None when there is none. Raises
+        find_route: Finds the route of a request by host, path and the keys that
+            it carries; None when there is none. Raises
             `organisations.UnknownCaller`.
         is_configured: Whether any configuration is in force.
         handle: Runs a request.
@@ -505,8 +505,8 @@
         ending = result.ending
         reason = ending.reason or Reason.TARGET_BROKE
         problem = http.problem(ending.outcome, reason, request_id)
-        headers = [(b"content-type", http.PROBLEM)]
-        if problem.status in (http.COME_BACK, http.TOO_MANY):
+        headers = [(b"content-type", http.PROBLEM_MEDIA_TYPE)]
+        if problem.status in (http.SERVICE_UNAVAILABLE, http.TOO_MANY_REQUESTS):
             wait = max(MIN_RETRY_AFTER, ending.retry_after)
             headers.append((b"retry-after", f"{wait:.2f}".encode()))
         if answer.protocol.their_state is not h11.DONE:
@@ -538,11 +538,11 @@
         )
         body = http.encode_problem(problem)
         come_back = ""
-        if error.status == http.COME_BACK:
-            come_back = f"retry-after: {RETRY_UNKNOWN:.2f}\r\n"
+        if error.status == http.SERVICE_UNAVAILABLE:
+            come_back = f"retry-after: {DEFAULT_RETRY_AFTER:.2f}\r\n"
         head = (
             f"HTTP/1.1 {error.status} Refused\r\n"
-            f"content-type: {http.PROBLEM.decode()}\r\n"
+            f"content-type: {http.PROBLEM_MEDIA_TYPE.decode()}\r\n"
             f"content-length: {len(body)}\r\n{come_back}"
             "connection: close\r\n\r\n"
         )
@@ -565,7 +565,7 @@
     return errors.BadRequest(
         "the process ends before the request arrived whole",
         "send it again",
-        http.COME_BACK,
+        http.SERVICE_UNAVAILABLE,
     )
 
 
@@ -577,15 +577,13 @@
     return tuple(h for h in http.end_to_end(headers) if h[0] not in ours)
 
 
-def _allowed(
-    headers: http.Headers, name: bytes, max_connections: float
-) -> float:
+def _allowed(headers: http.Headers, name: bytes, maximum: float) -> float:
     """Seconds the request may take: the caller's word, up to the route's."""
     given = http.value(headers, name)
     if given is None:
-        return max_connections
+        return maximum
     try:
-        return max(0.0, min(max_connections, int(given) / 1000))
+        return max(0.0, min(maximum, int(given) / 1000))
     except ValueError as error:
         raise errors.BadRequest(
             f"{name.decode()} is no number", "send whole milliseconds"
--- a/forklift/shell/response_buffer.py
+++ b/forklift/shell/response_buffer.py
@@ -12,13 +12,13 @@
     def __init__(self):
         self.owner: BufferedResponse | None = None
 
-    def try_acquire(self, response: "Holding") -> bool:
+    def try_acquire(self, response: "BufferedResponse") -> bool:
         """Takes it, if it is free; True when this attempt has it."""
         if self.owner is None:
             self.owner = response
         return self.owner is response
 
-    def release(self, response: "Holding") -> None:
+    def release(self, response: "BufferedResponse") -> None:
         """An attempt that passed nothing on is over."""
         if self.owner is response:
             self.owner = None
--- a/forklift/shell/response_writer.py
+++ b/forklift/shell/response_writer.py
@@ -44,7 +44,7 @@
             sent.append((b"content-length", str(head.length).encode()))
         elif self.method != b"HEAD" and head.status not in (204, 304):
             sent.append((b"transfer-encoding", b"chunked"))
-        if self._last(self) and not http.closes(sent):
+        if self._last(self) and not http.has_connection_header(sent):
             sent.append((b"connection", b"close"))
         self.has_started = True
         self.status = head.status
--- a/forklift/shell/server.py
+++ b/forklift/shell/server.py
@@ -10,9 +10,9 @@
 from forklift.shell import http
 from forklift.shell import wire
 
-IDLE = 60.0
-MAX_BODY = 4_500_000
-JSON = b"application/json"
+IDLE_TIMEOUT = 60.0
+MAX_BODY_BYTES = 4_500_000
+JSON_MEDIA_TYPE = b"application/json"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -39,17 +39,17 @@
     Attributes:
         status: HTTP status.
         body: The whole body.
-        kind: Its media type.
+        media_type: Its media type.
         headers: Further headers.
-        sent: Bytes of the body that are sent before the connection breaks;
-            -1 sends all. Stand-ins use it to answer short.
+        truncate_at: Bytes of the body that are sent before the connection
+            breaks; -1 sends all. Stand-ins use it to answer short.
     """
 
     status: int
     body: bytes = b""
-    kind: bytes = JSON
+    media_type: bytes = JSON_MEDIA_TYPE
     headers: http.Headers = ()
-    sent: int = -1
+    truncate_at: int = -1
 
 
 Handler = Callable[[Request], Awaitable[Response | None]]
@@ -58,14 +58,14 @@
 class Server:
     """Serves each connection in a task; a None answer closes it."""
 
-    def __init__(self, handler: Handler, max_body: int = MAX_BODY):
+    def __init__(self, handler: Handler, max_body_bytes: int = MAX_BODY_BYTES):
         self._handler = handler
-        self._max_body = max_body
+        self._max_body_bytes = max_body_bytes
         self._tasks: set[asyncio.Task] = set()
         self._server: asyncio.Server | None = None
         # Where it listens, once it does; port 0 lets the system choose.
         self.address = ""
-        self.cut_off = 0
+        self.cancelled_requests = 0
 
     async def open(self, address: str) -> None:
         """Listens.
@@ -136,7 +136,7 @@
             if not isinstance(piece, h11.Data):
                 return None
             body += piece.data
-            if len(body) > self._max_body:
+            if len(body) > self._max_body_bytes:
                 return None
 
     async def _watched(
@@ -149,7 +149,7 @@
             return await task
         except asyncio.CancelledError:
             if connection.closed:
-                self.cut_off += 1
+                self.cancelled_requests += 1
                 raise wire.Lost("the caller hung up") from None
             raise
         finally:
@@ -164,7 +164,7 @@
         if protocol.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             connection.write(protocol.send(go_on))
-        async with asyncio.timeout(IDLE):
+        async with asyncio.timeout(IDLE_TIMEOUT):
             protocol.receive_data(await connection.read())
 
 
@@ -176,13 +176,13 @@
 ) -> bool:
     headers = [
         *response.headers,
-        (b"content-type", response.kind),
+        (b"content-type", response.media_type),
         (b"content-length", str(len(response.body)).encode()),
     ]
     head = h11.Response(status_code=response.status, headers=headers)
     data = protocol.send(head)
-    if 0 <= response.sent < len(response.body):
-        connection.write(data + response.body[: response.sent])
+    if 0 <= response.truncate_at < len(response.body):
+        connection.write(data + response.body[: response.truncate_at])
         await connection.drain()
         return False
     if request.method != "HEAD":
--- a/forklift/ui/asking.py
+++ b/forklift/ui/asking.py
@@ -53,7 +53,7 @@
         response = await asker.request(
             method, path, body, headers, timeout=TIMEOUT
         )
-    except (client.Failed, ValueError) as error:
+    except (client.RequestFailed, ValueError) as error:
         raise errors.UserError(
             f"{admin} does not answer ({error}); give the admin address of a "
             "running process with --admin"
--- a/forklift_lab/demo.py
+++ b/forklift_lab/demo.py
@@ -60,7 +60,7 @@
         answer = await asker.request(
             "POST" if unsafe else "GET", path, b"", fields, 10.0, host="h"
         )
-    except client.Failed:
+    except client.RequestFailed:
         tally.no_answer += 1
         return
     finally:
--- a/forklift_lab/programs.py
+++ b/forklift_lab/programs.py
@@ -271,7 +271,7 @@
         try:
             answer = await asker.request("GET", "/ready", timeout=1.0)
             return answer.status == 200
-        except client.Failed:
+        except client.RequestFailed:
             return False
         finally:
             asker.close()
@@ -292,7 +292,7 @@
             sequence = sequence + 1 if incarnation == target.incarnation else 1
             incarnation, leaving = target.incarnation, target.leaving
             body = target.heartbeat(found.service, found.domain, sequence)
-            with contextlib.suppress(client.Failed):
+            with contextlib.suppress(client.RequestFailed):
                 path = f"/Instances.Heartbeat/{incarnation.target}"
                 answer = await asker.request("POST", path, body, timeout=1.0)
                 if answer.status == 200:
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -285,7 +285,7 @@
                 ),
                 (platform_headers.PLATFORM.key.decode(), KEY),
             )
-            with contextlib.suppress(client.Failed):
+            with contextlib.suppress(client.RequestFailed):
                 path = f"/{ORGANISATION}/"
                 await asker.request("GET", path, b"", fields, 5.0, host="h")
             asker.close()
@@ -316,7 +316,7 @@
             )
             status = answer.status
             own = status != 200 or _is_own(answer, request_id)
-        except client.Failed:
+        except client.RequestFailed:
             # No answer: what that means is for the promises to say.
             status = 0
         ended = self.now()
@@ -442,7 +442,7 @@
         try:
             answer = await asker.request("GET", "/history/", host="h")
             return answer.status == 200
-        except client.Failed:
+        except client.RequestFailed:
             return False
         finally:
             asker.close()
@@ -482,7 +482,7 @@
         for one in self.running.places:
             self.target(one).crashes_on = DEADLY
         asker = client.Client(place.caller)
-        with contextlib.suppress(client.Failed):
+        with contextlib.suppress(client.RequestFailed):
             await asker.request("GET", DEADLY_PATH, timeout=3.0, host="h")
         asker.close()
         down = [one for one in self.running.places if self.target(one).down]
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -437,7 +437,7 @@
             await helper.until(lambda: len(target.received) == arrive)
             assert not waiting.done()
             passing.reset()
-            with pytest.raises(client.Failed):
+            with pytest.raises(client.RequestFailed):
                 await waiting
             new.close()
 
