--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -190,7 +190,7 @@
 @handles("GET", "explain/")
 async def explain(admin: Admin, call: Call) -> server.Response:
     """The recent doubts about a target beside the process."""
-    name = admin.proxy.announced.find(call.name)
+    name = admin.proxy.target_registry.find(call.name)
     found = reports.explain(admin.proxy, name or call.name)
     if found is None:
         return problem(404, f"no target {call.name} beside this process")
@@ -203,7 +203,7 @@
     said = msgspec.json.decode(call.body, type=report.TargetAnnouncement)
     _check(call.name, said)
     proxy = admin.proxy
-    proxy.announced.seen(
+    proxy.target_registry.seen(
         heartbeats.Heartbeat(
             heartbeats.TargetIncarnation(call.name, said.born),
             said.service,
@@ -220,7 +220,7 @@
 @handles("POST", "targets/drain")
 async def drain(admin: Admin, call: Call) -> server.Response:
     """A target is to take no new request."""
-    name = admin.proxy.announced.find(call.name)
+    name = admin.proxy.target_registry.find(call.name)
     if name is None:
         return problem(404, f"no target {call.name} beside this process")
     admin.proxy.beside.drain(name)
@@ -230,7 +230,7 @@
 @handles("DELETE", "targets/")
 async def leave(admin: Admin, call: Call) -> server.Response:
     """A target is gone."""
-    admin.proxy.announced.left(heartbeats.parse_incarnation(call.name))
+    admin.proxy.target_registry.left(heartbeats.parse_incarnation(call.name))
     return json(reports.status(admin.proxy))
 
 
--- a/forklift/shell/configuring.py
+++ b/forklift/shell/configuration_loader.py
@@ -18,7 +18,7 @@
 HEARS_WITHIN = 0.5
 
 
-class Configuring:
+class ConfigurationLoader:
     """Decodes records and puts the newest in force."""
 
     def __init__(
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -26,7 +26,7 @@
 from forklift.shell import racing
 from forklift.shell import response_buffer
 from forklift.shell import sending
-from forklift.shell import stopping
+from forklift.shell import shutdown
 
 _log = structlog.get_logger(__name__)
 Outcome = messages.Outcome
@@ -37,7 +37,7 @@
 # Part of the budget of repeats up to which second sends are made: the rest is
 # left to requests that failed.
 HEDGE_SHARE = 0.85
-_ENDLESS = stopping.Bounds(math.inf, math.inf, math.inf)
+_ENDLESS = shutdown.Deadlines(math.inf, math.inf, math.inf)
 
 
 class Forwarder:
@@ -93,7 +93,7 @@
         finally:
             self._passages.discard(passage)
 
-    def end(self, bounds: stopping.Bounds) -> None:
+    def end(self, bounds: shutdown.Deadlines) -> None:
         """This process ends: every request has its answer before.
 
         What no target has by then is refused, which is true; what one has is
@@ -161,7 +161,7 @@
         ending = dataclasses.replace(result.ending, retry_after=after)
         return dataclasses.replace(result, ending=ending)
 
-    def end(self, bounds: stopping.Bounds) -> None:
+    def end(self, bounds: shutdown.Deadlines) -> None:
         """The process ends: this request must be over by then."""
         self._bounds = bounds
         self._retry_state.process_exits_at = bounds.refuse_at
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -21,8 +21,8 @@
 from forklift import store_readers
 from forklift.shell import beside as besides
 from forklift.shell import clock as clocks
-from forklift.shell import keeping
-from forklift.shell import registry
+from forklift.shell import quarantine_store
+from forklift.shell import store_follower
 
 _log = structlog.get_logger(__name__)
 State = messages.TargetState
@@ -96,7 +96,7 @@
         """Makes this process known and finds others, by the store."""
         own = self.directory.own
         data = messages.encode(messages.announcement_of(own))
-        await registry.meet(
+        await store_follower.meet(
             store,
             self._rng,
             own.name,
@@ -156,7 +156,7 @@
         for name, data in data_by_name.items():
             if name == self.directory.own.name:
                 continue
-            if name.startswith(keeping.PREFIX):
+            if name.startswith(quarantine_store.PREFIX):
                 self._on_kept(name, data)
                 continue
             try:
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -23,23 +23,23 @@
 from forklift import quarantine
 from forklift import rate_limits
 from forklift import settings
-from forklift.shell import announced
 from forklift.shell import beside
 from forklift.shell import clock as clocks
-from forklift.shell import configuring
+from forklift.shell import configuration_loader
 from forklift.shell import control
 from forklift.shell import exchange
 from forklift.shell import forward
 from forklift.shell import framing
 from forklift.shell import ingress
-from forklift.shell import keeping
 from forklift.shell import links
 from forklift.shell import neighbours
+from forklift.shell import quarantine_store
 from forklift.shell import rate_limiting
-from forklift.shell import registry
 from forklift.shell import served as serving
-from forklift.shell import stopping
-from forklift.shell import ticking
+from forklift.shell import shutdown
+from forklift.shell import store_follower
+from forklift.shell import target_registry
+from forklift.shell import ticker
 from forklift.shell import wire
 
 _log = structlog.get_logger(__name__)
@@ -95,10 +95,10 @@
         self.incarnation = 1
         self.stopping = False
         # Of its stop, once that was asked for.
-        self.bounds: stopping.Bounds | None = None
+        self.bounds: shutdown.Deadlines | None = None
         self.counters = counters.Counters()
         self.active_catalog = catalog.ActiveCatalog()
-        self.configuring = configuring.Configuring(
+        self.configuration_loader = configuration_loader.ConfigurationLoader(
             decode,
             self.active_catalog,
             self.clock,
@@ -113,7 +113,7 @@
 
     def _build(self) -> None:
         own = self.settings.process
-        self.ticker = ticking.Ticker(self._tick_safely, self._busy)
+        self.ticker = ticker.Ticker(self._tick_safely, self._busy)
         self.control = control.Control(
             own.control,
             self.boot,
@@ -139,7 +139,7 @@
             self.quarantine,
             self._evidence,
         )
-        self.announced = announced.Announced(
+        self.target_registry = target_registry.TargetRegistry(
             self.settings,
             self._names,
             self.active_catalog,
@@ -147,7 +147,7 @@
             self.clock,
             lambda: self.neighbours.tell_all(),
         )
-        self.keeper = keeping.Keeper(
+        self.quarantine_store = quarantine_store.QuarantineStore(
             own.name,
             self.quarantine,
             self.store,
@@ -164,10 +164,10 @@
             self.balancer,
             self.beside,
             self.control.send,
-            self.configuring.record,
-            self.announced.recalled,
+            self.configuration_loader.record,
+            self.target_registry.recalled,
             self.quarantine,
-            self.keeper.read,
+            self.quarantine_store.read,
         )
         self.directory = self.neighbours.directory
         self.rate_limiter = rate_limiting.AsyncLimiter(
@@ -179,10 +179,10 @@
             self.clock,
             self._rng,
         )
-        self.follower = registry.Follower(
+        self.follower = store_follower.StoreFollower(
             self.store,
             self._rng,
-            self.configuring.record,
+            self.configuration_loader.record,
             lambda: self.neighbours.readers.count,
             lambda: self.neighbours.readers.includes_self,
         )
@@ -263,7 +263,7 @@
         )
         self.spawn(self.follower.run())
         self.spawn(self.neighbours.meet(self.store))
-        self.spawn(self.announced.look_beside())
+        self.spawn(self.target_registry.look_beside())
         self.ticker.start()
         _log.info(
             "started",
@@ -283,7 +283,7 @@
         """Stops as planned: nothing in flight is cut off."""
         if not self.stopping:
             self.ask_to_stop()
-        await stopping.stop(self)
+        await shutdown.stop(self)
         await self.close()
 
     def ask_to_stop(self) -> None:
@@ -294,9 +294,9 @@
         now, grace = self.clock.monotonic(), self.settings.platform.grace
         if not self.stopping:
             self.stopping = True
-            self.bounds = stopping.first_bounds(now, grace)
+            self.bounds = shutdown.first_bounds(now, grace)
             return
-        self.bounds = stopping.asked_again(self.bounds, now, grace)
+        self.bounds = shutdown.asked_again(self.bounds, now, grace)
         self.forwarder.end(self.bounds)
         _log.info("stop_asked_again", running=self.running())
 
@@ -324,7 +324,7 @@
     def reload(self, read: settings.Settings) -> None:
         """Takes other settings; those of [process] stay until a restart."""
         self.settings = read
-        self.announced.settings = read
+        self.target_registry.settings = read
         self.policy = load_policy(read)
         self.balancer.set_retry_limits(_bounds(self.settings))
         self.rate_limiter.limiter.set_bounds(_limit_bounds(read))
@@ -368,15 +368,15 @@
         self.directory.update_own(store_epoch=self.store.epoch or 0)
         self.follower.renew()
         self.neighbours.store_lost.set()
-        self.keeper.write_again()
+        self.quarantine_store.write_again()
 
     def _taken(self, found: catalog.Catalog, source: str) -> None:
         """A version came in force."""
-        if source != configuring.STORE:
+        if source != configuration_loader.STORE:
             self.follower.overtaken(self.clock.monotonic())
         # Its watchers are told at once.
         self.ticker.nudge(0.0)
-        self.announced.follow(found)
+        self.target_registry.follow(found)
         self.balancer.shortest_objective_by_service = (
             found.shortest_objective_by_service
         )
@@ -414,7 +414,7 @@
         """What is known of requests that crash targets has changed here."""
         # It is told ahead of the next attempt of such a request.
         self.ticker.nudge(0.0)
-        self.keeper.crashed()
+        self.quarantine_store.crashed()
 
     def _target_changed(self, changed: admission.Controller) -> None:
         """A target's state changed: those who send to it hear at once."""
@@ -571,7 +571,7 @@
             return
         self.rate_limiter.limiter.mark_alive(message.sender.name)
         self.neighbours.receive(message)
-        self.configuring.look()
+        self.configuration_loader.look()
         sender = message.sender
         if isinstance(sender, messages.ProcessInfo):
             self._compare_era(sender)
@@ -595,7 +595,7 @@
     def _tick(self) -> None:
         self._observe()
         now = self.clock.monotonic()
-        self.configuring.look()
+        self.configuration_loader.look()
         self.beside.tick(now)
         self.links.tick()
         self._look_beside(now)
@@ -606,10 +606,10 @@
         if now >= self._next_slow:
             self._next_slow = now + SLOW_PERIOD
             self.ingress.tick(now)
-            self.announced.expire(now)
+            self.target_registry.expire(now)
             self.neighbours.describe()
             self._ask_for_work(now)
-            self.keeper.tick()
+            self.quarantine_store.tick()
         self.neighbours.tick(now)
         self.rate_limiter.tick(now)
         self.follower.look()
--- a/forklift/shell/keeping.py
+++ b/forklift/shell/quarantine_store.py
@@ -18,7 +18,7 @@
 from forklift import quarantine as quarantines
 from forklift import rendezvous
 from forklift.shell import clock as clocks
-from forklift.shell import registry
+from forklift.shell import store_follower
 
 _log = structlog.get_logger(__name__)
 
@@ -26,7 +26,7 @@
 PREFIX = "held/"
 
 
-class Keeper:
+class QuarantineStore:
     """Writes and reads the records of one process's quarantine."""
 
     def __init__(
@@ -116,7 +116,7 @@
 
     async def _write(self, fingerprint: bytes) -> None:
         """Writes the record as it is to be, or drops it."""
-        pause = registry.Pause(self._rng)
+        pause = store_follower.Backoff(self._rng)
         while True:
             now = self._clock.monotonic()
             data = b""
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -38,7 +38,7 @@
     )
     front = admin.Admin(proxy)
     calls = endpoints.Endpoints(
-        proxy.announced.seen, proxy.announced.left, proxy.ready
+        proxy.target_registry.seen, proxy.target_registry.left, proxy.ready
     )
     heartbeats = server.Server(calls.heartbeat)
     readiness = server.Server(calls.readiness)
--- a/forklift/shell/stopping.py
+++ b/forklift/shell/shutdown.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Bounds:
+class Deadlines:
     """Until when a stop lasts, monotonic seconds.
 
     Attributes:
@@ -37,7 +37,7 @@
     until: float
 
 
-def first_bounds(now: float, grace: float) -> Bounds:
+def first_bounds(now: float, grace: float) -> Deadlines:
     """The bounds of a stop that was asked for now.
 
     Args:
@@ -45,10 +45,10 @@
         grace: Seconds after which the process may be killed.
     """
     until = now + STOP_SHARE * grace
-    return Bounds(until - LAST_ANSWERS, until - LAST_ANSWERS, until)
+    return Deadlines(until - LAST_ANSWERS, until - LAST_ANSWERS, until)
 
 
-def asked_again(before: Bounds, now: float, grace: float) -> Bounds:
+def asked_again(before: Deadlines, now: float, grace: float) -> Deadlines:
     """The bounds of a stop that is asked for once more.
 
     Each signal may begin a grace of its own, or only the first: so what runs
@@ -69,7 +69,7 @@
     lame_until = now + min(LAME_DUCK, proxy.settings.platform.grace / 2)
     proxy.ingress.stopping = True
     _log.info("stopping", running=proxy.running())
-    proxy.announced.stop()
+    proxy.target_registry.stop()
     proxy.forwarder.end(proxy.bounds)
     while proxy.clock.monotonic() < lame_until:
         await asyncio.sleep(STOP_POLL)
--- a/forklift/shell/registry.py
+++ b/forklift/shell/store_follower.py
@@ -44,7 +44,7 @@
 MEET_EVERY = 300.0
 
 
-class Pause:
+class Backoff:
     """Pauses between failed calls, which grow."""
 
     def __init__(self, rng: random.Random):
@@ -62,7 +62,7 @@
         await asyncio.sleep(longest * (0.5 + self._rng.random() / 2))
 
 
-class Follower:
+class StoreFollower:
     """Reads the configuration from the store for ever."""
 
     def __init__(
@@ -89,7 +89,7 @@
         self._waits = waits
         # Set while this process is one that waits at the store.
         self._waiting = asyncio.Event()
-        self._pause = Pause(rng)
+        self._pause = Backoff(rng)
         self._overtaken = asyncio.Event()
         self._renewed_at = -math.inf
         # Whether the last read ended by a version, as those of all others did.
@@ -230,7 +230,7 @@
     data: bytes,
     on_members: Callable[[dict[str, bytes]], None],
 ) -> None:
-    pause = Pause(rng)
+    pause = Backoff(rng)
     announced = False
     while True:
         try:
--- a/forklift/shell/announced.py
+++ b/forklift/shell/target_registry.py
@@ -31,7 +31,7 @@
 DEFAULT_CONNECTIONS = 100
 
 
-class Announced:
+class TargetRegistry:
     """Takes targets in and out of use, by their word and by their silence."""
 
     def __init__(
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -18,9 +18,9 @@
 from forklift import heartbeats
 from forklift.platform import platform_headers
 from forklift.platform import store
-from forklift.shell import announced
 from forklift.shell import client
-from forklift.shell import registry
+from forklift.shell import store_follower
+from forklift.shell import target_registry
 from forklift_lab import kept
 from forklift_lab import programs
 from forklift_lab import scripted
@@ -60,7 +60,10 @@
 # it takes about one to start, and a read of the store two to be given up.
 SETTLES = 5.0
 # Seconds after which a process has given up a read of the store that is lost.
-GIVES_UP = registry.WAIT * (1 + registry.WAIT_SPREAD) + store.LONG_POLL_MARGIN
+GIVES_UP = (
+    store_follower.WAIT * (1 + store_follower.WAIT_SPREAD)
+    + store.LONG_POLL_MARGIN
+)
 # Versions whose route a configuration keeps, beside its own.
 KEEPS = 40
 # Seconds within which all must serve again once the faults are over: a bound
@@ -101,8 +104,8 @@
 # the seconds that are played on, in which the lease of a target that is taken
 # for silent ends and its work is missed.
 HEARTBEAT_MS = 500
-OUTLIVES = announced.MISSED_HEARTBEATS * HEARTBEAT_MS / 1000
-OUTLIVES += announced.HEARTBEAT_LATE + WORK_WITHIN + 0.5
+OUTLIVES = target_registry.MISSED_HEARTBEATS * HEARTBEAT_MS / 1000
+OUTLIVES += target_registry.HEARTBEAT_LATE + WORK_WITHIN + 0.5
 # Pause of a caller between two requests, seconds.
 THINKS = 0.1
 
--- a/test/processes.py
+++ b/test/processes.py
@@ -92,7 +92,7 @@
             False,
             1,
         )
-        one.announced.seen(dataclasses.replace(said, **changes))
+        one.target_registry.seen(dataclasses.replace(said, **changes))
 
     def meets(self) -> bool:
         return all(
--- a/test/replay.py
+++ b/test/replay.py
@@ -14,10 +14,10 @@
 from forklift import admission
 from forklift import health
 from forklift import retries
-from forklift.shell import ticking
+from forklift.shell import ticker
 
 Signal = health.Signal
-TICK = ticking.TICK
+TICK = ticker.TICK
 # Seconds from one gate to the next.
 BETWEEN = 0.002
 
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -21,9 +21,9 @@
 from forklift.shell import probe
 from forklift.shell import proxy
 from forklift.shell import racing
-from forklift.shell import registry
 from forklift.shell import server
-from forklift.shell import stopping
+from forklift.shell import shutdown
+from forklift.shell import store_follower
 from forklift_lab import scripted
 from forklift_lab import store as standin
 from test import helper
@@ -35,8 +35,8 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Pauses that only tests need shorter."""
-    monkeypatch.setattr(registry, "PAUSE_FIRST", 0.05)
-    monkeypatch.setattr(stopping, "LAME_DUCK", 0.2)
+    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.05)
+    monkeypatch.setattr(shutdown, "LAME_DUCK", 0.2)
 
 
 def test_a_request_is_served_by_any_process():
@@ -103,7 +103,9 @@
 
 def test_a_target_that_left_is_not_taken_back():
     async def work(fleet):
-        fleet.proxies[0].announced.left(heartbeats.TargetIncarnation("t0"))
+        fleet.proxies[0].target_registry.left(
+            heartbeats.TargetIncarnation("t0")
+        )
         fleet.announce(fleet.proxies[0], 0, sequence=5)
         assert (await fleet.ask(0)).status == 200
         assert fleet.targets[0].received == []
@@ -236,14 +238,14 @@
         one = fleet.proxies[0]
         overtaken = []
         one.follower.overtaken = overtaken.append
-        one.configuring.record(
+        one.configuration_loader.record(
             json.dumps(processes.record(2)).encode(), "store"
         )
         assert overtaken == []
         data = json.dumps(processes.record(3)).encode()
-        one.configuring.record(data, "peer")
+        one.configuration_loader.record(data, "peer")
         data = json.dumps(processes.record(3)).encode()
-        one.configuring.record(data, "peer")
+        one.configuration_loader.record(data, "peer")
         assert len(overtaken) == 1
 
     processes.play(work, [[]])
@@ -257,7 +259,7 @@
             for number in range(count):
                 one.directory.apply_direct(helper.info(f"other-{number}"), 0.0)
             waits.append(max(one.follower._wait() for _ in range(20)))
-        assert waits[0] < registry.WAIT / 2 < waits[1]
+        assert waits[0] < store_follower.WAIT / 2 < waits[1]
 
     processes.play(work, [[]])
 
@@ -617,9 +619,9 @@
     async def work(fleet):
         one = fleet.proxies[0]
         now = one.clock.monotonic()
-        one.announced.expire(now + 1.0)
+        one.target_registry.expire(now + 1.0)
         assert "t0" in one.beside.site_by_target
-        one.announced.expire(now + 1000.0)
+        one.target_registry.expire(now + 1000.0)
         assert one.beside.site_by_target == {}
 
     processes.play(work, [[]])
@@ -645,7 +647,7 @@
         )
         for one in fleet.proxies:
             older = json.dumps(processes.record(4)).encode()
-            one.configuring.record(older)
+            one.configuration_loader.record(older)
             assert one.active_catalog.catalog.version == 5
         fleet.store.configure(processes.record(4))
         fleet.store.configure({"version": 6, "routes": {"r": {}}})
@@ -687,7 +689,7 @@
 def test_one_that_started_again_is_reminded_of_what_had_left():
     async def work(fleet):
         old = fleet.proxies.pop(0)
-        old.announced.left(heartbeats.TargetIncarnation("t0"))
+        old.target_registry.left(heartbeats.TargetIncarnation("t0"))
         other = fleet.proxies[0]
         await helper.until(lambda: len(other.balancer.views("s")) == 1)
         fixed = dataclasses.replace(
@@ -701,7 +703,7 @@
         new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         fleet.proxies.insert(0, new)
         await new.start()
-        lives = new.announced._incarnations
+        lives = new.target_registry._incarnations
         await helper.until(
             lambda: heartbeats.TargetIncarnation("t0") in lives._ended
         )
@@ -731,7 +733,7 @@
         await helper.until(lambda: new.neighbours.met)
         fleet.announce(new, 0, sequence=2)
         await helper.until(lambda: len(picked(other)) == 2)
-        assert not new.announced._incarnations._ended
+        assert not new.target_registry._incarnations._ended
 
     def picked(one: proxy.Proxy) -> list[str]:
         return [
@@ -755,7 +757,7 @@
             False,
             1,
         )
-        one.announced.seen(said)
+        one.target_registry.seen(said)
         site = one.beside.site_by_target["t0"]
         assert site.controller.state is State.LEFT
         assert (await fleet.ask()).status == 200
--- a/test/test_keeping.py
+++ b/test/test_quarantine_store.py
@@ -7,8 +7,8 @@
 from forklift import invalid_input
 from forklift import messages
 from forklift import quarantine as quarantines
-from forklift.shell import keeping
-from forklift.shell import registry
+from forklift.shell import quarantine_store
+from forklift.shell import store_follower
 from test import helper
 
 DEADLY = b"deadly"
@@ -39,7 +39,7 @@
         self.quarantine = quarantines.Quarantine()
         self.tasks: list[asyncio.Task] = []
         others = [other for other in NAMES if other != name]
-        self.keeper = keeping.Keeper(
+        self.quarantine_store = quarantine_store.QuarantineStore(
             name,
             self.quarantine,
             store,
@@ -63,7 +63,7 @@
 
 
 def play(work, monkeypatch, failures: int = 0) -> None:
-    monkeypatch.setattr(registry, "PAUSE_FIRST", 0.01)
+    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.01)
 
     async def run():
         store, clock = Store(failures), helper.FakeClock()
@@ -76,11 +76,11 @@
     async def work(store, processes):
         first, later = processes[:2]
         first.hold()
-        first.keeper.crashed()
+        first.quarantine_store.crashed()
         await first.done()
         ((name, data),) = store.data_by_name.items()
         later.clock.now += 100.0
-        later.keeper.read(name, data)
+        later.quarantine_store.read(name, data)
         assert (
             held(later) == held(first) == quarantines.QUARANTINE_SECONDS - 100.0
         )
@@ -95,7 +95,7 @@
         for one in processes:
             one.hold()
             for _ in range(5):
-                one.keeper.tick()
+                one.quarantine_store.tick()
             await one.done()
         assert store.writes == 1
 
@@ -105,12 +105,12 @@
 def test_what_was_read_is_not_written_again(monkeypatch):
     async def work(store, processes):
         processes[0].hold()
-        processes[0].keeper.crashed()
+        processes[0].quarantine_store.crashed()
         await processes[0].done()
         ((name, data),) = store.data_by_name.items()
         for one in processes[1:]:
-            one.keeper.read(name, data)
-            one.keeper.tick()
+            one.quarantine_store.read(name, data)
+            one.quarantine_store.tick()
             await one.done()
         assert store.writes == 1
 
@@ -121,11 +121,11 @@
     async def work(store, processes):
         for one in processes:
             one.hold()
-            one.keeper.tick()
+            one.quarantine_store.tick()
         for one in processes:
             one.clock.now += quarantines.QUARANTINE_SECONDS / len(processes)
         for one in processes:
-            one.keeper.tick()
+            one.quarantine_store.tick()
             await one.done()
         assert list(store.data_by_name.values()) == [b""]
 
@@ -141,7 +141,7 @@
         )
         strange = messages.encode(messages.StoredEvidence(float("inf"), far))
         for data in (b"", b"\xff", b"{}", strange):
-            one.keeper.read(keeping.PREFIX + "x", data)
+            one.quarantine_store.read(quarantine_store.PREFIX + "x", data)
         assert not held(one)
         after = invalid_input.count_by_source[invalid_input.Source.MEMBER]
         assert after == before + 4
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -12,7 +12,7 @@
 from forklift import membership
 from forklift import messages
 from forklift import policy
-from forklift.shell import announced
+from forklift.shell import target_registry
 from test import helper
 from test import processes
 
@@ -71,7 +71,7 @@
                 number, before.controller.latencies.for_route("r", 1.0), now
             )
             before.controller.health.end(
-                number, announced.admission.Signal.BROKEN, now
+                number, target_registry.admission.Signal.BROKEN, now
             )
         assert before.controller.health.ejected
         announce(fleet, NEW, cold=30.0)
@@ -133,8 +133,8 @@
         announce(fleet, NEW)
         site = one.beside.site_by_target[NEW.name]
         announce(fleet, OLD, sequence=99, leaving=True)
-        one.announced.left(OLD)
-        one.announced.recalled(OLD.name)
+        one.target_registry.left(OLD)
+        one.target_registry.recalled(OLD.name)
         assert one.beside.site_by_target == {NEW.name: site}
         assert site.controller.state is State.IN_SERVICE
         assert (await fleet.ask()).status == 200
@@ -152,10 +152,14 @@
     async def work(fleet):
         one = fleet.proxies[0]
         own = dataclasses.replace(one.settings.platform, service="s")
-        one.announced.settings = dataclasses.replace(one.settings, platform=own)
+        one.target_registry.settings = dataclasses.replace(
+            one.settings, platform=own
+        )
         one.beside.site_by_target.clear()
-        one.announced._incarnations = heartbeats.IncarnationTracker(5.0)
-        one.announced._found_beside(announced.probe.Health(True, "t0", slots=3))
+        one.target_registry._incarnations = heartbeats.IncarnationTracker(5.0)
+        one.target_registry._found_beside(
+            target_registry.probe.Health(True, "t0", slots=3)
+        )
         site = one.beside.site_by_target["t0"]
         site.pool.address = fleet.targets[0].address
         fleet.targets[0].script.append("hold")
@@ -179,9 +183,9 @@
     async def work(fleet):
         one = fleet.proxies[0]
         announce(fleet, NEW)
-        assert one.announced.find("t0") == NEW.name
-        assert one.announced.find(NEW.name) == NEW.name
-        assert one.announced.find(OLD.name) is None
+        assert one.target_registry.find("t0") == NEW.name
+        assert one.target_registry.find(NEW.name) == NEW.name
+        assert one.target_registry.find(OLD.name) is None
 
     processes.play(work, [[]])
 
--- a/test/test_serve.py
+++ b/test/test_serve.py
@@ -7,7 +7,7 @@
 from forklift import settings
 from forklift.shell import proxy
 from forklift.shell import serve
-from forklift.shell import stopping
+from forklift.shell import shutdown
 from test import helper
 
 ANY = "127.0.0.1:0"
@@ -30,7 +30,7 @@
             await serve.serve(settings.Settings(process, platform), "none")
 
     monkeypatch.setattr(proxy.Proxy, "start", start)
-    monkeypatch.setattr(stopping, "LAME_DUCK", 0.2)
+    monkeypatch.setattr(shutdown, "LAME_DUCK", 0.2)
     monkeypatch.setattr(serve, "_settle_memory", lambda: None)
     before = signal.signal(signal.SIGTERM, lambda *_: missed.append(True))
     try:
--- a/test/test_stopping.py
+++ b/test/test_shutdown.py
@@ -10,9 +10,9 @@
 from forklift import messages
 from forklift.shell import exchange
 from forklift.shell import proxy
-from forklift.shell import registry
 from forklift.shell import served as serving
-from forklift.shell import stopping
+from forklift.shell import shutdown
+from forklift.shell import store_follower
 from forklift.shell import wire
 from forklift_lab import scripted
 from test import helper
@@ -22,8 +22,8 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Pauses that only tests need shorter."""
-    monkeypatch.setattr(registry, "PAUSE_FIRST", 0.05)
-    monkeypatch.setattr(stopping, "LAME_DUCK", 0.2)
+    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.05)
+    monkeypatch.setattr(shutdown, "LAME_DUCK", 0.2)
 
 
 def test_a_planned_stop_cuts_nothing_off():
@@ -72,7 +72,7 @@
 def test_a_planned_stop_answers_what_it_can_not_wait_for(monkeypatch):
     """Its callers are told whether it may have run; none is just cut off."""
     # Long before the end: an answer that is due has ample time to arrive.
-    monkeypatch.setattr(stopping, "LAST_ANSWERS", 4.0)
+    monkeypatch.setattr(shutdown, "LAST_ANSWERS", 4.0)
 
     async def work(fleet):
         one = fleet.proxies[0]
@@ -100,10 +100,10 @@
     processes.play(work, [[]], first=first)
 
 
-def ends_in(one: proxy.Proxy, seconds: float) -> stopping.Bounds:
+def ends_in(one: proxy.Proxy, seconds: float) -> shutdown.Deadlines:
     """The bounds of a process in which nobody is answered later."""
     by = one.clock.monotonic() + seconds
-    return stopping.Bounds(by, by, by)
+    return shutdown.Deadlines(by, by, by)
 
 
 def test_a_second_signal_gives_what_runs_the_time_that_it_brings(monkeypatch):
@@ -115,7 +115,7 @@
     What no target has is refused at the first bound all the same: should the
     platform count from the first signal, the process is killed right after it.
     """
-    monkeypatch.setattr(stopping, "LAST_ANSWERS", 4.0)
+    monkeypatch.setattr(shutdown, "LAST_ANSWERS", 4.0)
 
     async def work(fleet):
         one = fleet.proxies[0]
@@ -149,11 +149,11 @@
 
 
 def test_a_second_signal_never_shortens_what_the_first_gave():
-    first = stopping.first_bounds(100.0, 6.0)
-    again = stopping.asked_again(first, 102.1, 6.0)
+    first = shutdown.first_bounds(100.0, 6.0)
+    again = shutdown.asked_again(first, 102.1, 6.0)
     assert again.refuse_at == first.refuse_at
     assert again.answer_at > first.answer_at
-    assert again.until == pytest.approx(102.1 + stopping.STOP_SHARE * 6.0)
+    assert again.until == pytest.approx(102.1 + shutdown.STOP_SHARE * 6.0)
 
 
 def give_grace(one: proxy.Proxy, seconds: float) -> None:
@@ -400,7 +400,7 @@
 
     monkeypatch.setattr(serving.Served, "unsent", property(look))
     # The peer takes it in its own time; the bound is for silent ones.
-    monkeypatch.setattr(stopping, "LAST_ANSWERS", 3.0)
+    monkeypatch.setattr(shutdown, "LAST_ANSWERS", 3.0)
 
     async def work(fleet):
         entry, one = fleet.proxies
@@ -471,7 +471,7 @@
     """A peer sends beats and credit; a closed connection answers with a reset,
     and what the system still holds for the peer is lost."""
     # The peer takes it in its own time; the bound is for silent ones.
-    monkeypatch.setattr(stopping, "PARTING", helper.DEFAULT_TIMEOUT)
+    monkeypatch.setattr(shutdown, "PARTING", helper.DEFAULT_TIMEOUT)
 
     async def work(fleet):
         entry, one = fleet.proxies
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -9,8 +9,8 @@
 from forklift import errors
 from forklift import interfaces
 from forklift.platform import store as adapter
-from forklift.shell import registry
 from forklift.shell import server
+from forklift.shell import store_follower
 from forklift.shell import wire
 from forklift_lab import store as standin
 from test import helper
@@ -117,12 +117,12 @@
 
 
 def test_follower_recovers_from_an_outage_and_a_gap(monkeypatch):
-    monkeypatch.setattr(registry, "PAUSE_FIRST", 0.01)
+    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.01)
 
     async def work():
         async with StoreFixture() as fixture:
             seen = []
-            follower = registry.Follower(
+            follower = store_follower.StoreFollower(
                 fixture.adapter,
                 random.Random(1),
                 lambda data: seen.append(adapter.decode(data).version),
@@ -163,21 +163,23 @@
 
 def test_read_restarts_if_a_peer_has_a_newer_version(monkeypatch):
     """A read can hang on a dead connection while peers have a newer version."""
-    monkeypatch.setattr(registry, "PAUSE_FIRST", 0.0)
+    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.0)
 
     async def work():
         store = HangingStore()
-        follower = registry.Follower(store, random.Random(1), [].append)
+        follower = store_follower.StoreFollower(
+            store, random.Random(1), [].append
+        )
         task = asyncio.create_task(follower.run())
         await helper.until(lambda: len(store.waits) == 1)
         follower.overtaken(100.0)
         await helper.until(lambda: len(store.waits) == 2)
         assert follower.away
-        follower.overtaken(100.0 + registry.RENEW_EVERY / 2)
+        follower.overtaken(100.0 + store_follower.RENEW_EVERY / 2)
         for _ in range(100):
             await asyncio.sleep(0)
         assert len(store.waits) == 2
-        follower.overtaken(100.0 + registry.RENEW_EVERY)
+        follower.overtaken(100.0 + store_follower.RENEW_EVERY)
         await helper.until(lambda: len(store.waits) == 3)
         task.cancel()
 
@@ -190,7 +192,7 @@
 
     async def first_wait(count: int) -> float:
         store = HangingStore()
-        follower = registry.Follower(
+        follower = store_follower.StoreFollower(
             store, random.Random(count), [].append, lambda: processes
         )
         task = asyncio.create_task(follower.run())
@@ -199,11 +201,11 @@
         return store.waits[0]
 
     waits = [helper.run(first_wait(count)) for count in range(20)]
-    longest = registry.WAIT * (1 + registry.WAIT_SPREAD)
+    longest = store_follower.WAIT * (1 + store_follower.WAIT_SPREAD)
     assert max(waits) <= longest
     mean = sum(waits) / len(waits)
     assert mean / processes <= 1.1 * max(
-        registry.WAIT_A_PROCESS, registry.WAIT_LEAST / processes
+        store_follower.WAIT_A_PROCESS, store_follower.WAIT_LEAST / processes
     )
 
 
@@ -307,7 +309,7 @@
         store = NotifyingStore()
         tasks = []
         for number in range(31):
-            follower = registry.Follower(
+            follower = store_follower.StoreFollower(
                 store, random.Random(number), [].append, lambda: 31
             )
             tasks.append(asyncio.create_task(follower.run()))
--- a/test/test_store_readers.py
+++ b/test/test_store_readers.py
@@ -8,7 +8,7 @@
 from forklift import membership
 from forklift import messages
 from forklift import store_readers
-from forklift.shell import registry
+from forklift.shell import store_follower
 from test import fleet
 from test import helper
 from test import test_dissemination
@@ -155,7 +155,7 @@
     async def work():
         store = test_store.HangingStore()
         reads = [False]
-        follower = registry.Follower(
+        follower = store_follower.StoreFollower(
             store, random.Random(1), [].append, lambda: 40, lambda: reads[0]
         )
         task = asyncio.create_task(follower.run())
@@ -175,11 +175,11 @@
 
 
 def test_follower_that_is_not_a_reader_polls_the_store(monkeypatch):
-    monkeypatch.setattr(registry, "LOOK_EVERY", 0.01)
+    monkeypatch.setattr(store_follower, "LOOK_EVERY", 0.01)
 
     async def work():
         store = test_store.HangingStore()
-        follower = registry.Follower(
+        follower = store_follower.StoreFollower(
             store, random.Random(1), [].append, lambda: 40, lambda: False
         )
         task = asyncio.create_task(follower.run())
--- a/test/test_went_back.py
+++ b/test/test_went_back.py
@@ -13,9 +13,9 @@
 
 from forklift import errors
 from forklift.platform import store as adapter
-from forklift.shell import keeping
-from forklift.shell import registry
+from forklift.shell import quarantine_store
 from forklift.shell import server
+from forklift.shell import store_follower
 from forklift_lab import store as standin
 from test import helper
 from test import processes
@@ -28,8 +28,8 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Pauses that only tests need shorter."""
-    monkeypatch.setattr(registry, "PAUSE_FIRST", 0.02)
-    monkeypatch.setattr(registry, "AGAIN_WITHIN", 0.02)
+    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.02)
+    monkeypatch.setattr(store_follower, "AGAIN_WITHIN", 0.02)
 
 
 def play(work):
@@ -262,7 +262,7 @@
 def test_a_request_that_is_held_back_is_written_down_again():
     async def work(fleet):
         deadly.quarantine_locally(fleet.proxies[0])
-        fleet.proxies[0].keeper.crashed()
+        fleet.proxies[0].quarantine_store.crashed()
         await helper.until(lambda: held(fleet))
         fleet.store.go_back({})
         fleet.store.configure(processes.record(2))
@@ -273,7 +273,11 @@
 
 
 def held(fleet) -> list[str]:
-    return [name for name in known(fleet) if name.startswith(keeping.PREFIX)]
+    return [
+        name
+        for name in known(fleet)
+        if name.startswith(quarantine_store.PREFIX)
+    ]
 
 
 def test_all_do_not_write_again_in_one_moment(monkeypatch):
@@ -292,11 +296,11 @@
             pauses.append(seconds)
             await sleep(0)
 
-        monkeypatch.setattr(registry.asyncio, "sleep", note)
+        monkeypatch.setattr(store_follower.asyncio, "sleep", note)
         lost = [asyncio.Event() for _ in range(20)]
         tasks = [
             asyncio.create_task(
-                registry.meet(
+                store_follower.meet(
                     Registry(),
                     random.Random(number),
                     f"p{number}",
