--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -203,7 +203,7 @@
     said = msgspec.json.decode(call.body, type=report.TargetAnnouncement)
     _check(call.name, said)
     proxy = admin.proxy
-    proxy.target_registry.seen(
+    proxy.target_registry.record_heartbeat(
         heartbeats.Heartbeat(
             heartbeats.TargetIncarnation(call.name, said.born),
             said.service,
@@ -230,7 +230,9 @@
 @handles("DELETE", "targets/")
 async def leave(admin: Admin, call: Call) -> server.Response:
     """A target is gone."""
-    admin.proxy.target_registry.left(heartbeats.parse_incarnation(call.name))
+    admin.proxy.target_registry.record_leave(
+        heartbeats.parse_incarnation(call.name)
+    )
     return json(reports.status(admin.proxy))
 
 
--- a/forklift/shell/configuration_loader.py
+++ b/forklift/shell/configuration_loader.py
@@ -12,10 +12,10 @@
 _log = structlog.get_logger(__name__)
 
 # Where the configuration is read; any other source is a peer.
-STORE = "store"
+STORE_SOURCE = "store"
 # Seconds in which a process that starts learns from others which version they
 # have, before it takes what the store tells: many times the way to them.
-HEARS_WITHIN = 0.5
+PEER_VERSION_TIMEOUT = 0.5
 
 
 class ConfigurationLoader:
@@ -52,7 +52,7 @@
         # A version that waits for the word of peers.
         self._held: catalog.Catalog | None = None
 
-    def record(self, data: bytes, source: str = STORE) -> None:
+    def receive(self, data: bytes, source: str = STORE_SOURCE) -> None:
         """A record of the configuration was read."""
         try:
             found = self._decode(data)
@@ -64,17 +64,17 @@
                 invalid_input.Source.CONFIGURATION
             ] += 1
             return
-        if source == STORE and self._waits(found):
+        if source == STORE_SOURCE and self._waits(found):
             self._held = found
             return
         self._take(found, source)
 
-    def look(self) -> None:
+    def activate_pending(self) -> None:
         """Takes a version that waited, once peers said what they have."""
         held = self._held
         if held is not None and not self._waits(held):
             self._held = None
-            self._take(held, STORE)
+            self._take(held, STORE_SOURCE)
 
     def _waits(self, found: catalog.Catalog) -> bool:
         """Whether peers may have a newer version than the store tells.
@@ -84,7 +84,7 @@
         """
         if self._active_catalog.loaded:
             return False
-        if self._clock.monotonic() - self._started_at >= HEARS_WITHIN:
+        if self._clock.monotonic() - self._started_at >= PEER_VERSION_TIMEOUT:
             return False
         heard = self._newest_heard()
         if heard is not None:
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -124,7 +124,7 @@
         self._retry_state = retries.RetryState(
             self._now(),
             request.deadline,
-            process_exits_at=forwarder.bounds.refuse_at,
+            process_exits_at=forwarder.bounds.reject_at,
         )
         self._bounds = forwarder.bounds
         self._until: asyncio.Timeout | None = None
@@ -164,7 +164,7 @@
     def end(self, bounds: shutdown.Deadlines) -> None:
         """The process ends: this request must be over by then."""
         self._bounds = bounds
-        self._retry_state.process_exits_at = bounds.refuse_at
+        self._retry_state.process_exits_at = bounds.reject_at
         self._bound()
 
     def _ask(self, asking: bool) -> None:
@@ -175,7 +175,7 @@
     def _bound(self) -> None:
         """Bounds the request by the end of this process, if that is known."""
         bounds = self._bounds
-        by = bounds.answer_at if self._asking else bounds.refuse_at
+        by = bounds.resolve_at if self._asking else bounds.reject_at
         if self._until is None or self._until.expired() or math.isinf(by):
             return
         self._until.reschedule(self._loop_time(by))
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/neighbours.py
@@ -96,7 +96,7 @@
         """Makes this process known and finds others, by the store."""
         own = self.directory.own
         data = messages.encode(messages.announcement_of(own))
-        await store_follower.meet(
+        await store_follower.join_fleet(
             store,
             self._rng,
             own.name,
@@ -156,7 +156,7 @@
         for name, data in data_by_name.items():
             if name == self.directory.own.name:
                 continue
-            if name.startswith(quarantine_store.PREFIX):
+            if name.startswith(quarantine_store.RECORD_PREFIX):
                 self._on_kept(name, data)
                 continue
             try:
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -46,23 +46,23 @@
 Reason = messages.Reason
 
 # Seconds between signs of life on links, and between checks that can wait.
-BEAT_PERIOD = 0.2
-SLOW_PERIOD = 0.5
+KEEPALIVE_INTERVAL = 0.2
+SLOW_TICK_INTERVAL = 0.5
 # A gap between two ticks this long means that the process was paused.
-PAUSE = 1.0
+PAUSE_THRESHOLD = 1.0
 # Peers that sent a request within these seconds hear at once of a doubt about
 # its target; others learn it from the refusal, should they send one.
-NEWS_FOR = 3.0
+RECENT_SENDER_TIME = 3.0
 # Seconds without work after which a sound target asks for some: longer than the
 # process beside it lets it go without, where that has callers.
-IDLE_FOR = 1.2
+IDLE_TARGET_TIME = 1.2
 # One that is doubted asks for a test.
 _ASKS_FOR_WORK = (
     messages.TargetState.IN_SERVICE,
     messages.TargetState.SUSPECT,
 )
 # A process that met nobody is ready after this time alone, seconds.
-READY_ALONE = 3.0
+READY_WITHOUT_PEERS_AFTER = 3.0
 
 
 class Proxy:
@@ -95,7 +95,7 @@
         self.incarnation = 1
         self.stopping = False
         # Of its stop, once that was asked for.
-        self.bounds: shutdown.Deadlines | None = None
+        self.stop_deadlines: shutdown.Deadlines | None = None
         self.counters = counters.Counters()
         self.active_catalog = catalog.ActiveCatalog()
         self.configuration_loader = configuration_loader.ConfigurationLoader(
@@ -164,10 +164,10 @@
             self.balancer,
             self.beside,
             self.control.send,
-            self.configuration_loader.record,
-            self.target_registry.recalled,
+            self.configuration_loader.receive,
+            self.target_registry.record_remembered_leave,
             self.quarantine,
-            self.quarantine_store.read,
+            self.quarantine_store.load,
         )
         self.directory = self.neighbours.directory
         self.rate_limiter = rate_limiting.AsyncLimiter(
@@ -182,7 +182,7 @@
         self.follower = store_follower.StoreFollower(
             self.store,
             self._rng,
-            self.configuration_loader.record,
+            self.configuration_loader.receive,
             lambda: self.neighbours.readers.count,
             lambda: self.neighbours.readers.includes_self,
         )
@@ -263,7 +263,7 @@
         )
         self.spawn(self.follower.run())
         self.spawn(self.neighbours.meet(self.store))
-        self.spawn(self.target_registry.look_beside())
+        self.spawn(self.target_registry.discover_local_target())
         self.ticker.start()
         _log.info(
             "started",
@@ -282,11 +282,11 @@
     async def stop(self) -> None:
         """Stops as planned: nothing in flight is cut off."""
         if not self.stopping:
-            self.ask_to_stop()
+            self.request_stop()
         await shutdown.stop(self)
         await self.close()
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Somebody wants this process to stop, perhaps not for the first time.
 
         The stop itself begins with `stop`.
@@ -294,13 +294,15 @@
         now, grace = self.clock.monotonic(), self.settings.platform.grace
         if not self.stopping:
             self.stopping = True
-            self.bounds = shutdown.first_bounds(now, grace)
+            self.stop_deadlines = shutdown.initial_deadlines(now, grace)
             return
-        self.bounds = shutdown.asked_again(self.bounds, now, grace)
-        self.forwarder.end(self.bounds)
+        self.stop_deadlines = shutdown.extended_deadlines(
+            self.stop_deadlines, now, grace
+        )
+        self.forwarder.end(self.stop_deadlines)
         _log.info("stop_asked_again", running=self.running())
 
-    def close_door(self) -> None:
+    def stop_accepting(self) -> None:
         """Takes no new connection of a caller from now on."""
         self._servers[0].close()
         self.ingress.closed = True
@@ -335,7 +337,7 @@
         served = sum(1 for served in self.served if served.busy)
         return self.ingress.running + self.beside.running + served
 
-    def owing(self) -> int:
+    def pending_responses(self) -> int:
         """Answers that this process still owes, in any role.
 
         Unlike `running`, it counts what is still being read, and answers
@@ -349,7 +351,7 @@
         if self.stopping or not self.active_catalog.loaded:
             return False
         age = self.clock.monotonic() - self._started_at
-        return self.neighbours.met or age >= READY_ALONE
+        return self.neighbours.met or age >= READY_WITHOUT_PEERS_AFTER
 
     def spawn(self, work) -> None:
         """Runs a coroutine beside, until the process ends."""
@@ -366,17 +368,17 @@
     def _store_lost(self) -> None:
         """The store came back without some of what it had acknowledged."""
         self.directory.update_own(store_epoch=self.store.epoch or 0)
-        self.follower.renew()
+        self.follower.restart_read()
         self.neighbours.store_lost.set()
-        self.quarantine_store.write_again()
+        self.quarantine_store.rewrite_all()
 
     def _taken(self, found: catalog.Catalog, source: str) -> None:
         """A version came in force."""
-        if source != configuration_loader.STORE:
-            self.follower.overtaken(self.clock.monotonic())
+        if source != configuration_loader.STORE_SOURCE:
+            self.follower.on_newer_from_peer(self.clock.monotonic())
         # Its watchers are told at once.
-        self.ticker.nudge(0.0)
-        self.target_registry.follow(found)
+        self.ticker.wake(0.0)
+        self.target_registry.apply_catalog(found)
         self.balancer.shortest_objective_by_service = (
             found.shortest_objective_by_service
         )
@@ -386,7 +388,7 @@
         self, request: exchange.Request, sink: exchange.Sink
     ) -> exchange.Result:
         self._observe()
-        self.ticker.nudge()
+        self.ticker.wake()
         wait = await self.rate_limiter.admit(request.organisation)
         if wait is not None:
             self.rate_limiter.log_rejection(
@@ -413,8 +415,8 @@
     def _evidence(self) -> None:
         """What is known of requests that crash targets has changed here."""
         # It is told ahead of the next attempt of such a request.
-        self.ticker.nudge(0.0)
-        self.quarantine_store.crashed()
+        self.ticker.wake(0.0)
+        self.quarantine_store.save()
 
     def _target_changed(self, changed: admission.Controller) -> None:
         """A target's state changed: those who send to it hear at once."""
@@ -422,7 +424,7 @@
         standing = messages.LoadUpdate(changed.name, load)
         since = float("-inf")
         if not changed.closed:
-            since = asyncio.get_running_loop().time() - NEWS_FOR
+            since = asyncio.get_running_loop().time() - RECENT_SENDER_TIME
         for served in list(self.served):
             served.tell(standing, since)
         if changed.health.ejected:
@@ -452,7 +454,7 @@
         answerer: serving.Answerer,
     ) -> exchange.Result:
         self._observe()
-        self.ticker.nudge()
+        self.ticker.wake()
         now = self.clock.monotonic()
         if start.incarnation != self.incarnation:
             # It may be older than its sender knows.
@@ -571,18 +573,18 @@
             return
         self.rate_limiter.limiter.mark_alive(message.sender.name)
         self.neighbours.receive(message)
-        self.configuration_loader.look()
+        self.configuration_loader.activate_pending()
         sender = message.sender
         if isinstance(sender, messages.ProcessInfo):
             self._compare_era(sender)
         if self.neighbours.active(self.clock.monotonic()):
-            self.ticker.nudge()
+            self.ticker.wake()
 
     def _compare_era(self, peer: messages.ProcessInfo) -> None:
         """A peer saw the store lose records, which few look at themselves."""
         known = self.store.epoch
         if known is not None and peer.store_epoch > known:
-            self.follower.renew()
+            self.follower.restart_read()
 
     def _tick_safely(self) -> None:
         try:
@@ -595,16 +597,16 @@
     def _tick(self) -> None:
         self._observe()
         now = self.clock.monotonic()
-        self.configuration_loader.look()
+        self.configuration_loader.activate_pending()
         self.beside.tick(now)
         self.links.tick()
         self._look_beside(now)
         if now >= self._next_beat:
-            self._next_beat = now + BEAT_PERIOD
+            self._next_beat = now + KEEPALIVE_INTERVAL
             for served in list(self.served):
                 served.beat()
         if now >= self._next_slow:
-            self._next_slow = now + SLOW_PERIOD
+            self._next_slow = now + SLOW_TICK_INTERVAL
             self.ingress.tick(now)
             self.target_registry.expire(now)
             self.neighbours.describe()
@@ -612,7 +614,7 @@
             self.quarantine_store.tick()
         self.neighbours.tick(now)
         self.rate_limiter.tick(now)
-        self.follower.look()
+        self.follower.update_role()
 
     def _ask_for_work(self, now: float) -> None:
         """Has others send to a target beside that nobody uses.
@@ -623,7 +625,11 @@
         for site in self.beside.site_by_target.values():
             load = site.controller.load(now)
             usable = load.state in _ASKS_FOR_WORK
-            if usable and load.idle > IDLE_FOR and self.active_catalog.loaded:
+            if (
+                usable
+                and load.idle > IDLE_TARGET_TIME
+                and self.active_catalog.loaded
+            ):
                 self.neighbours.ask_for_work(site.controller.name, load)
 
     def _look_beside(self, now: float) -> None:
@@ -641,7 +647,7 @@
         now = self.clock.monotonic()
         paused = now - self._last_tick
         self._last_tick = now
-        if paused < PAUSE:
+        if paused < PAUSE_THRESHOLD:
             return
         self.incarnation += 1
         _log.warning("paused", seconds=round(paused, 2))
--- a/forklift/shell/quarantine_store.py
+++ b/forklift/shell/quarantine_store.py
@@ -23,7 +23,7 @@
 _log = structlog.get_logger(__name__)
 
 # Begins the names of such records; no process has one that begins so.
-PREFIX = "held/"
+RECORD_PREFIX = "held/"
 
 
 class QuarantineStore:
@@ -60,13 +60,13 @@
         # Crashes that the record of each request tells, or is about to.
         self._crashes_by_fingerprint: dict[bytes, frozenset[int]] = {}
 
-    def crashed(self) -> None:
+    def save(self) -> None:
         """This process saw a crash: it writes what that tells at once."""
         now = self._clock.monotonic()
         for fingerprint in self._quarantine.quarantined(now):
             self._refresh(fingerprint, now)
 
-    def write_again(self) -> None:
+    def rewrite_all(self) -> None:
         """The store lost records: all that are needed are written anew."""
         self._crashes_by_fingerprint.clear()
 
@@ -86,7 +86,7 @@
             if self._owns(fingerprint):
                 self._spawn(self._write(fingerprint))
 
-    def read(self, name: str, data: bytes) -> None:
+    def load(self, name: str, data: bytes) -> None:
         """Takes a record of the store in."""
         try:
             kept = messages.decode_evidence(data)
@@ -125,7 +125,9 @@
                 wall = self._clock.wall()
                 data = messages.encode(messages.StoredEvidence(wall, evidence))
             try:
-                await self._store.announce(PREFIX + fingerprint.hex(), data)
+                await self._store.announce(
+                    RECORD_PREFIX + fingerprint.hex(), data
+                )
                 return
             except errors.RegistryUnavailable as error:
                 _log.info("keeping_failed", detail=str(error))
--- a/forklift/shell/reload.py
+++ b/forklift/shell/reload.py
@@ -11,7 +11,7 @@
 _log = structlog.get_logger(__name__)
 
 # Seconds between two looks at the file; it may change without a signal.
-LOOK_EVERY = 1.0
+POLL_INTERVAL = 1.0
 
 
 class Watcher:
@@ -29,7 +29,7 @@
         self._text = ""
         self.refused = 0
 
-    def look(self) -> bool:
+    def check(self) -> bool:
         """Reads the file; True when other settings are in force now.
 
         Settings that can't be used are refused, and the old ones stay.
@@ -51,8 +51,8 @@
     async def run(self) -> None:
         """Looks for ever."""
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_EVERY)
+            self.check()
+            await asyncio.sleep(POLL_INTERVAL)
 
     def _take(self, found: settings.Settings) -> bool:
         if found.process != self._read.process:
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -38,14 +38,16 @@
     )
     front = admin.Admin(proxy)
     calls = endpoints.Endpoints(
-        proxy.target_registry.seen, proxy.target_registry.left, proxy.ready
+        proxy.target_registry.record_heartbeat,
+        proxy.target_registry.record_leave,
+        proxy.ready,
     )
     heartbeats = server.Server(calls.heartbeat)
     readiness = server.Server(calls.readiness)
     stop = asyncio.Event()
 
     def ask_to_stop() -> None:
-        proxy.ask_to_stop()
+        proxy.request_stop()
         stop.set()
 
     front.on_drain_all = ask_to_stop
@@ -55,7 +57,7 @@
     # process with their requests.
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ask_to_stop)
-    loop.add_signal_handler(signal.SIGHUP, watcher.look)
+    loop.add_signal_handler(signal.SIGHUP, watcher.check)
     await proxy.start()
     await _open_front(front)
     await _open(heartbeats, read.platform.heartbeats, "heartbeats")
@@ -67,7 +69,7 @@
         ready=readiness.address,
         admin=front.address,
     )
-    _settle_memory()
+    _freeze_startup_objects()
     proxy.spawn(watcher.run())
     await stop.wait()
     await proxy.stop()
@@ -93,7 +95,7 @@
         ) from error
 
 
-def _settle_memory() -> None:
+def _freeze_startup_objects() -> None:
     """What is loaded by now lives for ever.
 
     Full collections of it would show in the slowest requests.
--- a/forklift/shell/store_follower.py
+++ b/forklift/shell/store_follower.py
@@ -18,30 +18,30 @@
 # ends. So few processes wait less than many: where all connections fall silent
 # at once, one of them begins a new read each 0.3 s and has the next version for
 # all.
-WAIT = 9.0
-WAIT_LEAST = 1.0
-WAIT_A_PROCESS = 0.3
+MAX_WAIT = 9.0
+MIN_WAIT = 1.0
+WAIT_PER_PROCESS = 0.3
 # Part by which a wait is drawn longer or shorter, so that reads don't end at
 # once.
-WAIT_SPREAD = 1 / 3
+WAIT_JITTER = 1 / 3
 # The least part of it that is waited after a version, which all processes read
 # at once: their next reads end spread over the whole wait.
-WAIT_PART_LEAST = 0.02
+MIN_WAIT_FRACTION = 0.02
 # Seconds between two looks of a process that does not wait at the store, in the
 # mean: it is told by peers, and this is for what no peer can tell it.
-LOOK_EVERY = 60.0
+REFRESH_INTERVAL = 60.0
 # Seconds between two reads that are given up since a peer had a version first.
-RENEW_EVERY = 4.0
+RESTART_INTERVAL = 4.0
 # First pause after a failure, and the longest, seconds.
-PAUSE_FIRST = 0.2
-PAUSE_MOST = 0.8
+INITIAL_BACKOFF = 0.2
+MAX_BACKOFF = 0.8
 # Seconds within which all announce themselves again where the store lost their
 # records: two calls of each process, at a part of the rate that it takes.
-AGAIN_WITHIN = 0.5
-AGAIN_A_PROCESS = 0.01
+REANNOUNCE_WINDOW = 0.5
+REANNOUNCE_WINDOW_PER_PROCESS = 0.01
 # Seconds between two meetings at most: half of the time after which processes
 # forget each other, at two calls each.
-MEET_EVERY = 300.0
+ANNOUNCE_INTERVAL = 300.0
 
 
 class Backoff:
@@ -57,7 +57,7 @@
 
     async def wait(self) -> None:
         """Waits after a failed call."""
-        longest = min(PAUSE_MOST, PAUSE_FIRST * 2**self._failures)
+        longest = min(MAX_BACKOFF, INITIAL_BACKOFF * 2**self._failures)
         self._failures += 1
         await asyncio.sleep(longest * (0.5 + self._rng.random() / 2))
 
@@ -86,26 +86,26 @@
         self._rng = rng
         self._on_record = on_record
         self._processes = processes
-        self._waits = waits
+        self._is_reader = waits
         # Set while this process is one that waits at the store.
         self._waiting = asyncio.Event()
         self._pause = Backoff(rng)
-        self._overtaken = asyncio.Event()
-        self._renewed_at = -math.inf
+        self._restart_requested = asyncio.Event()
+        self._restarted_at = -math.inf
         # Whether the last read ended by a version, as those of all others did.
         self._in_step = False
         # Whether the store did not answer the last call.
-        self.away = False
+        self.unavailable = False
 
     async def run(self) -> None:
         """Reads for ever."""
         position: int | None = None
         while True:
-            if position is not None and not self._waits():
+            if position is not None and not self._is_reader():
                 await self._rest()
                 position = None
             try:
-                found = await self._read_unless_overtaken(position)
+                found = await self._read_until_restart(position)
             except errors.RegistryGap as error:
                 _log.info("store_gap", detail=str(error))
                 position = None
@@ -120,9 +120,9 @@
             if found.record is not None:
                 self._on_record(found.record)
 
-    def look(self) -> None:
+    def update_role(self) -> None:
         """Lets this process wait at the store again where that is its part."""
-        if self._waits():
+        if self._is_reader():
             self._waiting.set()
         else:
             self._waiting.clear()
@@ -130,11 +130,11 @@
     async def _rest(self) -> None:
         """Leaves the store to others until it is this process's part again."""
         self._waiting.clear()
-        seconds = LOOK_EVERY * self._rng.uniform(0.5, 1.5)
+        seconds = REFRESH_INTERVAL * self._rng.uniform(0.5, 1.5)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._waiting.wait(), seconds)
 
-    def overtaken(self, now: float) -> None:
+    def on_newer_from_peer(self, now: float) -> None:
         """A peer brought a version that the store has not told.
 
         The read that waits may hang on a connection that fell silent, which
@@ -143,21 +143,21 @@
         Args:
             now: Monotonic seconds.
         """
-        if now - self._renewed_at >= RENEW_EVERY:
-            self._renewed_at = now
-            self._overtaken.set()
+        if now - self._restarted_at >= RESTART_INTERVAL:
+            self._restarted_at = now
+            self._restart_requested.set()
 
-    def renew(self) -> None:
+    def restart_read(self) -> None:
         """What is known of the store may be over: it is read anew at once."""
-        self._overtaken.set()
+        self._restart_requested.set()
         self._waiting.set()
 
-    async def _read_unless_overtaken(
+    async def _read_until_restart(
         self, position: int | None
     ) -> interfaces.ConfigurationRead:
-        self._overtaken.clear()
+        self._restart_requested.clear()
         read = asyncio.create_task(self._read(position))
-        overtaken = asyncio.create_task(self._overtaken.wait())
+        overtaken = asyncio.create_task(self._restart_requested.wait())
         try:
             await asyncio.wait(
                 (read, overtaken), return_when=asyncio.FIRST_COMPLETED
@@ -172,11 +172,11 @@
 
     def _wait(self) -> float:
         """Seconds that the next read waits for a change."""
-        mean = WAIT_A_PROCESS * self._processes()
-        mean = min(WAIT, max(WAIT_LEAST, mean))
-        wait = mean * self._rng.uniform(1 - WAIT_SPREAD, 1 + WAIT_SPREAD)
+        mean = WAIT_PER_PROCESS * self._processes()
+        mean = min(MAX_WAIT, max(MIN_WAIT, mean))
+        wait = mean * self._rng.uniform(1 - WAIT_JITTER, 1 + WAIT_JITTER)
         if self._in_step:
-            wait *= self._rng.uniform(WAIT_PART_LEAST, 1.0)
+            wait *= self._rng.uniform(MIN_WAIT_FRACTION, 1.0)
         return wait
 
     async def _read(self, position: int | None) -> interfaces.ConfigurationRead:
@@ -186,18 +186,18 @@
         return await self._registry.next_configuration(position, wait)
 
     def _lost(self, error: errors.RegistryUnavailable) -> None:
-        if not self.away:
+        if not self.unavailable:
             _log.warning("store_lost", detail=str(error))
-        self.away = True
+        self.unavailable = True
 
     def _back(self) -> None:
         self._pause.reset()
-        if self.away:
+        if self.unavailable:
             _log.info("store_back")
-        self.away = False
+        self.unavailable = False
 
 
-async def meet(
+async def join_fleet(
     registry: interfaces.Registry,
     rng: random.Random,
     name: str,
@@ -215,15 +215,17 @@
     """
     while True:
         lost.clear()
-        await _meet_once(registry, rng, name, data, on_members)
-        pause = MEET_EVERY * (0.5 + rng.random() / 2)
+        await _join_fleet_once(registry, rng, name, data, on_members)
+        pause = ANNOUNCE_INTERVAL * (0.5 + rng.random() / 2)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(lost.wait(), pause)
-            spread = AGAIN_WITHIN + processes() * AGAIN_A_PROCESS
+            spread = (
+                REANNOUNCE_WINDOW + processes() * REANNOUNCE_WINDOW_PER_PROCESS
+            )
             await asyncio.sleep(spread * rng.random())
 
 
-async def _meet_once(
+async def _join_fleet_once(
     registry: interfaces.Registry,
     rng: random.Random,
     name: str,
--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -21,14 +21,14 @@
 # Heartbeats that may be missing before a target is taken for gone, and the
 # seconds that one may be late.
 MISSED_HEARTBEATS = 3
-HEARTBEAT_LATE = 3.5
+HEARTBEAT_TOLERANCE = 3.5
 # Times that a new process asks for the target beside it, and the pause between.
-LOOKS_BESIDE = 3
-LOOK_PAUSE = 0.3
+DISCOVERY_ATTEMPTS = 3
+DISCOVERY_RETRY_DELAY = 0.3
 # Seconds between two looks whether a configuration is known.
-CONFIGURATION_POLL = 0.05
+CONFIGURATION_POLL_INTERVAL = 0.05
 # Connections to a target of a service that the configuration does not name.
-DEFAULT_CONNECTIONS = 100
+DEFAULT_MAX_CONNECTIONS = 100
 
 
 class TargetRegistry:
@@ -51,7 +51,7 @@
         self._on_change = on_change
         self._heard_by_target: dict[str, float] = {}
         self._incarnations = heartbeats.IncarnationTracker(
-            self._period + HEARTBEAT_LATE
+            self._period + HEARTBEAT_TOLERANCE
         )
         self.stopping = False
 
@@ -60,7 +60,7 @@
         """Seconds between two heartbeats of a target."""
         return self.settings.platform.heartbeat_ms / 1000
 
-    def seen(self, said: heartbeats.Heartbeat) -> None:
+    def record_heartbeat(self, said: heartbeats.Heartbeat) -> None:
         """A target announced itself."""
         now = self._clock.monotonic()
         before = self._incarnations.current_name(said.incarnation.target)
@@ -94,7 +94,7 @@
         if self.stopping:
             self._beside.pause(name)
 
-    def left(self, incarnation: heartbeats.TargetIncarnation) -> None:
+    def record_leave(self, incarnation: heartbeats.TargetIncarnation) -> None:
         """A target says that it is about to end, or has."""
         self._leave(
             self._incarnations.record_leave(
@@ -102,7 +102,7 @@
             )
         )
 
-    def recalled(self, name: str) -> None:
+    def record_remembered_leave(self, name: str) -> None:
         """A peer remembers that a target had said so to an earlier run."""
         incarnation = heartbeats.parse_incarnation(name)
         self._leave(
@@ -161,13 +161,13 @@
             self._beside.leave(name)
             self._beside.site_by_target.pop(name).pool.end()
 
-    def stop(self) -> None:
+    def pause_targets(self) -> None:
         """This process stops: its targets take nothing new."""
         self.stopping = True
         for name in list(self._beside.site_by_target):
             self._beside.pause(name)
 
-    def follow(self, current: catalog.Catalog) -> None:
+    def apply_catalog(self, current: catalog.Catalog) -> None:
         """Takes the services of a new configuration, and their bounds."""
         for name, site in list(self._beside.site_by_target.items()):
             service = current.services_by_name.get(site.controller.service)
@@ -179,7 +179,7 @@
 
     def expire(self, now: float) -> None:
         """Forgets targets that sent no heartbeat for long."""
-        lease = MISSED_HEARTBEATS * self._period + HEARTBEAT_LATE
+        lease = MISSED_HEARTBEATS * self._period + HEARTBEAT_TOLERANCE
         for name, heard in list(self._heard_by_target.items()):
             if now - heard <= lease:
                 continue
@@ -190,7 +190,7 @@
                 site.pool.close()
                 self._on_change()
 
-    async def look_beside(self) -> None:
+    async def discover_local_target(self) -> None:
         """Finds the target beside a process that started again.
 
         Its next heartbeat may be more than a second away. Its health endpoint
@@ -199,9 +199,9 @@
         own = self.settings.platform
         if not own.target or not own.service:
             return
-        for _ in range(LOOKS_BESIDE):
+        for _ in range(DISCOVERY_ATTEMPTS):
             while not self._active_catalog.loaded:
-                await asyncio.sleep(CONFIGURATION_POLL)
+                await asyncio.sleep(CONFIGURATION_POLL_INTERVAL)
             service = self._active_catalog.catalog.services_by_name.get(
                 own.service
             )
@@ -212,11 +212,11 @@
             )
             usable = found is not None and found.target and found.slots
             if usable and found.well:
-                self._found_beside(found)
+                self._add_discovered(found)
                 return
-            await asyncio.sleep(LOOK_PAUSE)
+            await asyncio.sleep(DISCOVERY_RETRY_DELAY)
 
-    def _found_beside(self, found: probe.Health) -> None:
+    def _add_discovered(self, found: probe.Health) -> None:
         own = self.settings
         now = self._clock.monotonic()
         if self.stopping or not self._incarnations.record_health_check(
@@ -242,11 +242,11 @@
             if site.pool.address == said.address and other != name:
                 # The address has another target now.
                 self._crashed(other)
-                self.recalled(other)
+                self.record_remembered_leave(other)
         service = self._active_catalog.catalog.services_by_name.get(
             said.service
         )
-        most = service.max_connections if service else DEFAULT_CONNECTIONS
+        most = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
         site = besides.Site(
             said.incarnation.target,
             admission.Controller(name, said.service, said.slots),
--- a/forklift/shell/ticker.py
+++ b/forklift/shell/ticker.py
@@ -10,10 +10,10 @@
 
 # Seconds between two ticks while there is work: what a tick looks for (overdue
 # requests, ends of waits, silent paths) is due within several of them.
-TICK = 0.1
+BUSY_INTERVAL = 0.1
 # Seconds between two while there is none: a quarter of the time after which a
 # process takes itself for paused.
-IDLE_TICK = 0.25
+IDLE_INTERVAL = 0.25
 
 
 class Ticker:
@@ -32,9 +32,9 @@
 
     def start(self) -> None:
         """Begins, on the running loop."""
-        self._after(TICK)
+        self._after(BUSY_INTERVAL)
 
-    def nudge(self, within: float = TICK) -> None:
+    def wake(self, within: float = BUSY_INTERVAL) -> None:
         """Work has come: the next call is due soon.
 
         Args:
@@ -59,5 +59,5 @@
 
     def _run(self) -> None:
         # A tick may nudge, or stop what ticks.
-        self._after(TICK if self._busy() else IDLE_TICK)
+        self._after(BUSY_INTERVAL if self._busy() else IDLE_INTERVAL)
         self._tick()
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -61,7 +61,7 @@
 SETTLES = 5.0
 # Seconds after which a process has given up a read of the store that is lost.
 GIVES_UP = (
-    store_follower.WAIT * (1 + store_follower.WAIT_SPREAD)
+    store_follower.MAX_WAIT * (1 + store_follower.WAIT_JITTER)
     + store.LONG_POLL_MARGIN
 )
 # Versions whose route a configuration keeps, beside its own.
@@ -105,7 +105,7 @@
 # for silent ends and its work is missed.
 HEARTBEAT_MS = 500
 OUTLIVES = target_registry.MISSED_HEARTBEATS * HEARTBEAT_MS / 1000
-OUTLIVES += target_registry.HEARTBEAT_LATE + WORK_WITHIN + 0.5
+OUTLIVES += target_registry.HEARTBEAT_TOLERANCE + WORK_WITHIN + 0.5
 # Pause of a caller between two requests, seconds.
 THINKS = 0.1
 
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -22,7 +22,7 @@
 from test import helper
 
 # Seconds between two ticks of a process that has something to tell.
-TICK = ticker.TICK
+TICK = ticker.BUSY_INTERVAL
 # Failure domains.
 DOMAINS = 3
 # Seconds that a message takes.
@@ -125,7 +125,7 @@
         boot = 1 + next(self._order)
         node = Node(self, name, boot)
         self.node_by_name[name] = node
-        node.tick_at = self.clock.now + ticker.IDLE_TICK
+        node.tick_at = self.clock.now + ticker.IDLE_INTERVAL
         self.tick_in(node, self.rng.uniform(0.0, TICK))
         return node
 
@@ -204,7 +204,7 @@
         if not current or node.tick_number != number:
             return
         busy = node.neighbours.active(self.clock.now)
-        pause = TICK if busy else ticker.IDLE_TICK
+        pause = TICK if busy else ticker.IDLE_INTERVAL
         self._tick_at(node, self.clock.now + pause)
         node.neighbours.tick(self.clock.now)
 
--- a/test/processes.py
+++ b/test/processes.py
@@ -92,7 +92,9 @@
             False,
             1,
         )
-        one.target_registry.seen(dataclasses.replace(said, **changes))
+        one.target_registry.record_heartbeat(
+            dataclasses.replace(said, **changes)
+        )
 
     def meets(self) -> bool:
         return all(
--- a/test/replay.py
+++ b/test/replay.py
@@ -17,7 +17,7 @@
 from forklift.shell import ticker
 
 Signal = health.Signal
-TICK = ticker.TICK
+TICK = ticker.BUSY_INTERVAL
 # Seconds from one gate to the next.
 BETWEEN = 0.002
 
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -35,8 +35,8 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Pauses that only tests need shorter."""
-    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.05)
-    monkeypatch.setattr(shutdown, "LAME_DUCK", 0.2)
+    monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.05)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
 
 
 def test_a_request_is_served_by_any_process():
@@ -103,7 +103,7 @@
 
 def test_a_target_that_left_is_not_taken_back():
     async def work(fleet):
-        fleet.proxies[0].target_registry.left(
+        fleet.proxies[0].target_registry.record_leave(
             heartbeats.TargetIncarnation("t0")
         )
         fleet.announce(fleet.proxies[0], 0, sequence=5)
@@ -237,15 +237,15 @@
     async def work(fleet):
         one = fleet.proxies[0]
         overtaken = []
-        one.follower.overtaken = overtaken.append
-        one.configuration_loader.record(
+        one.follower.on_newer_from_peer = overtaken.append
+        one.configuration_loader.receive(
             json.dumps(processes.record(2)).encode(), "store"
         )
         assert overtaken == []
         data = json.dumps(processes.record(3)).encode()
-        one.configuration_loader.record(data, "peer")
+        one.configuration_loader.receive(data, "peer")
         data = json.dumps(processes.record(3)).encode()
-        one.configuration_loader.record(data, "peer")
+        one.configuration_loader.receive(data, "peer")
         assert len(overtaken) == 1
 
     processes.play(work, [[]])
@@ -259,7 +259,7 @@
             for number in range(count):
                 one.directory.apply_direct(helper.info(f"other-{number}"), 0.0)
             waits.append(max(one.follower._wait() for _ in range(20)))
-        assert waits[0] < store_follower.WAIT / 2 < waits[1]
+        assert waits[0] < store_follower.MAX_WAIT / 2 < waits[1]
 
     processes.play(work, [[]])
 
@@ -647,7 +647,7 @@
         )
         for one in fleet.proxies:
             older = json.dumps(processes.record(4)).encode()
-            one.configuration_loader.record(older)
+            one.configuration_loader.receive(older)
             assert one.active_catalog.catalog.version == 5
         fleet.store.configure(processes.record(4))
         fleet.store.configure({"version": 6, "routes": {"r": {}}})
@@ -689,7 +689,7 @@
 def test_one_that_started_again_is_reminded_of_what_had_left():
     async def work(fleet):
         old = fleet.proxies.pop(0)
-        old.target_registry.left(heartbeats.TargetIncarnation("t0"))
+        old.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
         other = fleet.proxies[0]
         await helper.until(lambda: len(other.balancer.views("s")) == 1)
         fixed = dataclasses.replace(
@@ -757,7 +757,7 @@
             False,
             1,
         )
-        one.target_registry.seen(said)
+        one.target_registry.record_heartbeat(said)
         site = one.beside.site_by_target["t0"]
         assert site.controller.state is State.LEFT
         assert (await fleet.ask()).status == 200
@@ -803,7 +803,7 @@
         note = other.record_work_request
 
         def heard(target, load, now):
-            asked.append((target, load.idle > proxy.IDLE_FOR))
+            asked.append((target, load.idle > proxy.IDLE_TARGET_TIME))
             note(target, load, now)
 
         other.record_work_request = heard
--- a/test/test_quarantine_store.py
+++ b/test/test_quarantine_store.py
@@ -63,7 +63,7 @@
 
 
 def play(work, monkeypatch, failures: int = 0) -> None:
-    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.01)
+    monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.01)
 
     async def run():
         store, clock = Store(failures), helper.FakeClock()
@@ -76,11 +76,11 @@
     async def work(store, processes):
         first, later = processes[:2]
         first.hold()
-        first.quarantine_store.crashed()
+        first.quarantine_store.save()
         await first.done()
         ((name, data),) = store.data_by_name.items()
         later.clock.now += 100.0
-        later.quarantine_store.read(name, data)
+        later.quarantine_store.load(name, data)
         assert (
             held(later) == held(first) == quarantines.QUARANTINE_SECONDS - 100.0
         )
@@ -105,11 +105,11 @@
 def test_what_was_read_is_not_written_again(monkeypatch):
     async def work(store, processes):
         processes[0].hold()
-        processes[0].quarantine_store.crashed()
+        processes[0].quarantine_store.save()
         await processes[0].done()
         ((name, data),) = store.data_by_name.items()
         for one in processes[1:]:
-            one.quarantine_store.read(name, data)
+            one.quarantine_store.load(name, data)
             one.quarantine_store.tick()
             await one.done()
         assert store.writes == 1
@@ -141,7 +141,9 @@
         )
         strange = messages.encode(messages.StoredEvidence(float("inf"), far))
         for data in (b"", b"\xff", b"{}", strange):
-            one.quarantine_store.read(quarantine_store.PREFIX + "x", data)
+            one.quarantine_store.load(
+                quarantine_store.RECORD_PREFIX + "x", data
+            )
         assert not held(one)
         after = invalid_input.count_by_source[invalid_input.Source.MEMBER]
         assert after == before + 4
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -32,7 +32,7 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Shortens pauses for tests."""
-    monkeypatch.setattr(shutdown, "LAME_DUCK", 0.2)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
 
 
 def crash_on(fleet: processes.Fleet, text: bytes) -> None:
@@ -182,7 +182,9 @@
         target.script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
-        one.target_registry.left(heartbeats.TargetIncarnation(target.name))
+        one.target_registry.record_leave(
+            heartbeats.TargetIncarnation(target.name)
+        )
         target.crash()
         assert (await runs).status == 502
         assert one.quarantine.all_evidence(one.clock.monotonic()) == []
@@ -229,7 +231,7 @@
         key
         for partition in fleet.store.partition_by_place.values()
         for key in partition.newest_by_key
-        if key.startswith(quarantine_store.PREFIX)
+        if key.startswith(quarantine_store.RECORD_PREFIX)
     ]
 
 
@@ -307,7 +309,7 @@
 
     async def work(fleet):
         ingress, other = fleet.proxies
-        ingress.target_registry.left(heartbeats.TargetIncarnation("t0"))
+        ingress.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
         quarantine_locally(other)
         answer = await fleet.ask(0, "/a/deadly")
         assert answer.status == 503
@@ -390,7 +392,7 @@
 
     async def work(fleet):
         ingress, other = fleet.proxies
-        ingress.target_registry.left(heartbeats.TargetIncarnation("t0"))
+        ingress.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
         other.beside.site_by_target["t1"].controller.slots = 1
         fleet.targets[1].script.append("hold")
         runs = asyncio.create_task(fleet.ask(1))
@@ -412,7 +414,7 @@
 
     async def work(fleet):
         ingress, other = fleet.proxies
-        ingress.target_registry.left(heartbeats.TargetIncarnation("t0"))
+        ingress.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
         suspect_locally(other)
         gate_of = other.beside.site_by_target["t1"].controller
         arrive, seen = gate_of.admit, []
--- a/test/test_reload.py
+++ b/test/test_reload.py
@@ -19,11 +19,11 @@
         self.taken: list[settings.Settings] = []
         read = settings.parse("f", TEXT)
         self.watcher = reload.Watcher(str(path), read, self.taken.append)
-        self.watcher.look()
+        self.watcher.check()
 
     def write(self, text: str) -> bool:
         self.path.write_text(text)
-        return self.watcher.look()
+        return self.watcher.check()
 
 
 @pytest.fixture
@@ -47,14 +47,14 @@
     assert rig.taken == []
     assert rig.watcher.refused == 1
     # What is refused is not tried again, and a good file is taken.
-    assert not rig.watcher.look()
+    assert not rig.watcher.check()
     assert rig.watcher.refused == 1
     assert rig.write(TEXT + "grace = 9\n")
 
 
 def test_a_file_that_is_gone_is_refused(rig):
     rig.path.unlink()
-    assert not rig.watcher.look()
+    assert not rig.watcher.check()
     assert rig.watcher.refused == 1
 
 
@@ -71,5 +71,5 @@
     path.write_text(TEXT + "grace = 9\n")
     read = settings.parse("f", TEXT)
     watcher = reload.Watcher(str(path), read, refuse)
-    assert not watcher.look()
+    assert not watcher.check()
     assert watcher.refused == 1
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -133,8 +133,8 @@
         announce(fleet, NEW)
         site = one.beside.site_by_target[NEW.name]
         announce(fleet, OLD, sequence=99, leaving=True)
-        one.target_registry.left(OLD)
-        one.target_registry.recalled(OLD.name)
+        one.target_registry.record_leave(OLD)
+        one.target_registry.record_remembered_leave(OLD.name)
         assert one.beside.site_by_target == {NEW.name: site}
         assert site.controller.state is State.IN_SERVICE
         assert (await fleet.ask()).status == 200
@@ -157,7 +157,7 @@
         )
         one.beside.site_by_target.clear()
         one.target_registry._incarnations = heartbeats.IncarnationTracker(5.0)
-        one.target_registry._found_beside(
+        one.target_registry._add_discovered(
             target_registry.probe.Health(True, "t0", slots=3)
         )
         site = one.beside.site_by_target["t0"]
--- a/test/test_serve.py
+++ b/test/test_serve.py
@@ -30,8 +30,8 @@
             await serve.serve(settings.Settings(process, platform), "none")
 
     monkeypatch.setattr(proxy.Proxy, "start", start)
-    monkeypatch.setattr(shutdown, "LAME_DUCK", 0.2)
-    monkeypatch.setattr(serve, "_settle_memory", lambda: None)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
+    monkeypatch.setattr(serve, "_freeze_startup_objects", lambda: None)
     before = signal.signal(signal.SIGTERM, lambda *_: missed.append(True))
     try:
         helper.run(work())
@@ -61,8 +61,8 @@
         asked.append(one)
 
     monkeypatch.setattr(proxy.Proxy, "stop", stop)
-    monkeypatch.setattr(proxy.Proxy, "ask_to_stop", ask)
-    monkeypatch.setattr(serve, "_settle_memory", lambda: None)
+    monkeypatch.setattr(proxy.Proxy, "request_stop", ask)
+    monkeypatch.setattr(serve, "_freeze_startup_objects", lambda: None)
     missed = []
     before = signal.signal(signal.SIGTERM, lambda *_: missed.append(True))
     try:
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -22,8 +22,8 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Pauses that only tests need shorter."""
-    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.05)
-    monkeypatch.setattr(shutdown, "LAME_DUCK", 0.2)
+    monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.05)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
 
 
 def test_a_planned_stop_cuts_nothing_off():
@@ -72,7 +72,7 @@
 def test_a_planned_stop_answers_what_it_can_not_wait_for(monkeypatch):
     """Its callers are told whether it may have run; none is just cut off."""
     # Long before the end: an answer that is due has ample time to arrive.
-    monkeypatch.setattr(shutdown, "LAST_ANSWERS", 4.0)
+    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_TIME", 4.0)
 
     async def work(fleet):
         one = fleet.proxies[0]
@@ -115,7 +115,7 @@
     What no target has is refused at the first bound all the same: should the
     platform count from the first signal, the process is killed right after it.
     """
-    monkeypatch.setattr(shutdown, "LAST_ANSWERS", 4.0)
+    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_TIME", 4.0)
 
     async def work(fleet):
         one = fleet.proxies[0]
@@ -130,8 +130,8 @@
         await helper.until(lambda: one.stopping)
         # So long that the first bound alone can come while this test runs.
         give_grace(one, 1000.0)
-        one.ask_to_stop()
-        first = one.bounds.refuse_at
+        one.request_stop()
+        first = one.stop_deadlines.reject_at
         await helper.until(lambda: waits.done())
         assert (await waits).status == 503
         await helper.until(lambda: one.clock.monotonic() > first)
@@ -149,11 +149,11 @@
 
 
 def test_a_second_signal_never_shortens_what_the_first_gave():
-    first = shutdown.first_bounds(100.0, 6.0)
-    again = shutdown.asked_again(first, 102.1, 6.0)
-    assert again.refuse_at == first.refuse_at
-    assert again.answer_at > first.answer_at
-    assert again.until == pytest.approx(102.1 + shutdown.STOP_SHARE * 6.0)
+    first = shutdown.initial_deadlines(100.0, 6.0)
+    again = shutdown.extended_deadlines(first, 102.1, 6.0)
+    assert again.reject_at == first.reject_at
+    assert again.resolve_at > first.resolve_at
+    assert again.exit_at == pytest.approx(102.1 + shutdown.USABLE_GRACE * 6.0)
 
 
 def give_grace(one: proxy.Proxy, seconds: float) -> None:
@@ -400,7 +400,7 @@
 
     monkeypatch.setattr(serving.Served, "unsent", property(look))
     # The peer takes it in its own time; the bound is for silent ones.
-    monkeypatch.setattr(shutdown, "LAST_ANSWERS", 3.0)
+    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_TIME", 3.0)
 
     async def work(fleet):
         entry, one = fleet.proxies
@@ -471,7 +471,7 @@
     """A peer sends beats and credit; a closed connection answers with a reset,
     and what the system still holds for the peer is lost."""
     # The peer takes it in its own time; the bound is for silent ones.
-    monkeypatch.setattr(shutdown, "PARTING", helper.DEFAULT_TIMEOUT)
+    monkeypatch.setattr(shutdown, "PEER_CLOSE_TIMEOUT", helper.DEFAULT_TIMEOUT)
 
     async def work(fleet):
         entry, one = fleet.proxies
--- a/test/test_silence.py
+++ b/test/test_silence.py
@@ -20,7 +20,7 @@
 DESIGN = pathlib.Path(__file__).parent.parent / "docs" / "DESIGN.md"
 # The longest way of a message between two failure domains, seconds.
 WAY = 0.01
-TICK = ticker.TICK
+TICK = ticker.BUSY_INTERVAL
 
 # Seconds by promise: what adds up, and the bound.
 SUM_BY_PROMISE = {
@@ -37,7 +37,7 @@
         2.0,
     ),
     "processes that lost each other meet after the store is back": (
-        store.REQUEST_TIMEOUT + store_follower.PAUSE_MOST + 3 * WAY,
+        store.REQUEST_TIMEOUT + store_follower.MAX_BACKOFF + 3 * WAY,
         2.0,
     ),
     "a request leaves a path that fell silent": (
@@ -46,7 +46,7 @@
         0.8,
     ),
     "a silent control connection is opened anew": (
-        gossip.PING_PERIOD + gossip.PONG_TIMEOUT + 2 * ticker.IDLE_TICK,
+        gossip.PING_PERIOD + gossip.PONG_TIMEOUT + 2 * ticker.IDLE_INTERVAL,
         3.0,
     ),
 }
@@ -55,7 +55,8 @@
 def test_two_signs_may_be_missing_before_a_path_is_given_up():
     """A peer gives them with its ticks, and a tick may be late by one."""
     assert (
-        reachability.REPLY_TIMEOUT >= 2 * proxy.BEAT_PERIOD + ticker.TICK - 1e-9
+        reachability.REPLY_TIMEOUT
+        >= 2 * proxy.KEEPALIVE_INTERVAL + ticker.BUSY_INTERVAL - 1e-9
     )
 
 
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -117,7 +117,7 @@
 
 
 def test_follower_recovers_from_an_outage_and_a_gap(monkeypatch):
-    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.01)
+    monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.01)
 
     async def work():
         async with StoreFixture() as fixture:
@@ -163,7 +163,7 @@
 
 def test_read_restarts_if_a_peer_has_a_newer_version(monkeypatch):
     """A read can hang on a dead connection while peers have a newer version."""
-    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.0)
+    monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.0)
 
     async def work():
         store = HangingStore()
@@ -172,14 +172,14 @@
         )
         task = asyncio.create_task(follower.run())
         await helper.until(lambda: len(store.waits) == 1)
-        follower.overtaken(100.0)
+        follower.on_newer_from_peer(100.0)
         await helper.until(lambda: len(store.waits) == 2)
-        assert follower.away
-        follower.overtaken(100.0 + store_follower.RENEW_EVERY / 2)
+        assert follower.unavailable
+        follower.on_newer_from_peer(100.0 + store_follower.RESTART_INTERVAL / 2)
         for _ in range(100):
             await asyncio.sleep(0)
         assert len(store.waits) == 2
-        follower.overtaken(100.0 + store_follower.RENEW_EVERY)
+        follower.on_newer_from_peer(100.0 + store_follower.RESTART_INTERVAL)
         await helper.until(lambda: len(store.waits) == 3)
         task.cancel()
 
@@ -201,11 +201,11 @@
         return store.waits[0]
 
     waits = [helper.run(first_wait(count)) for count in range(20)]
-    longest = store_follower.WAIT * (1 + store_follower.WAIT_SPREAD)
+    longest = store_follower.MAX_WAIT * (1 + store_follower.WAIT_JITTER)
     assert max(waits) <= longest
     mean = sum(waits) / len(waits)
     assert mean / processes <= 1.1 * max(
-        store_follower.WAIT_A_PROCESS, store_follower.WAIT_LEAST / processes
+        store_follower.WAIT_PER_PROCESS, store_follower.MIN_WAIT / processes
     )
 
 
--- a/test/test_store_readers.py
+++ b/test/test_store_readers.py
@@ -161,11 +161,11 @@
         task = asyncio.create_task(follower.run())
         await helper.until(lambda: store.first_reads == 1)
         for _ in range(50):
-            follower.look()
+            follower.update_role()
             await asyncio.sleep(0)
         assert store.waits == []
         reads[0] = True
-        follower.look()
+        follower.update_role()
         await helper.until(lambda: len(store.waits) == 1)
         # Changes made while it did not wait are read first.
         assert store.first_reads == 2
@@ -175,7 +175,7 @@
 
 
 def test_follower_that_is_not_a_reader_polls_the_store(monkeypatch):
-    monkeypatch.setattr(store_follower, "LOOK_EVERY", 0.01)
+    monkeypatch.setattr(store_follower, "REFRESH_INTERVAL", 0.01)
 
     async def work():
         store = test_store.HangingStore()
--- a/test/test_went_back.py
+++ b/test/test_went_back.py
@@ -28,8 +28,8 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Pauses that only tests need shorter."""
-    monkeypatch.setattr(store_follower, "PAUSE_FIRST", 0.02)
-    monkeypatch.setattr(store_follower, "AGAIN_WITHIN", 0.02)
+    monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.02)
+    monkeypatch.setattr(store_follower, "REANNOUNCE_WINDOW", 0.02)
 
 
 def play(work):
@@ -250,8 +250,8 @@
 
     async def work(fleet):
         late = fleet.proxies[2]
-        late.follower._waits = lambda: False
-        late.follower.renew()
+        late.follower._is_reader = lambda: False
+        late.follower.restart_read()
         await helper.until(lambda: not late.follower._waiting.is_set())
         fleet.store.go_back(fleet.store.copied())
         await helper.until(lambda: late.store.epoch == 1)
@@ -262,7 +262,7 @@
 def test_a_request_that_is_held_back_is_written_down_again():
     async def work(fleet):
         deadly.quarantine_locally(fleet.proxies[0])
-        fleet.proxies[0].quarantine_store.crashed()
+        fleet.proxies[0].quarantine_store.save()
         await helper.until(lambda: held(fleet))
         fleet.store.go_back({})
         fleet.store.configure(processes.record(2))
@@ -276,7 +276,7 @@
     return [
         name
         for name in known(fleet)
-        if name.startswith(quarantine_store.PREFIX)
+        if name.startswith(quarantine_store.RECORD_PREFIX)
     ]
 
 
@@ -300,7 +300,7 @@
         lost = [asyncio.Event() for _ in range(20)]
         tasks = [
             asyncio.create_task(
-                store_follower.meet(
+                store_follower.join_fleet(
                     Registry(),
                     random.Random(number),
                     f"p{number}",
