--- a/forklift/shell/logs.py
+++ b/forklift/shell/logs.py
@@ -12,20 +12,20 @@
 import structlog
 
 # Lines a second that a process writes at most, and the part of warnings.
-LINES_A_SECOND = 50
-WARNINGS_A_SECOND = 50
+MAX_LINES_PER_SECOND = 50
+MAX_WARNINGS_PER_SECOND = 50
 # Bytes that wait for a slow reader.
-BUFFER_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 _WARNINGS = ("warning", "error", "critical")
 
 dropped_by_event: collections.Counter[str] = collections.Counter()
 
 
-class Budget:
+class FixedWindowLimiter:
     """Lines that may still be written in this second.
 
-    >>> budget = Budget(1)
-    >>> budget.take(5.0), budget.take(5.5), budget.take(6.0)
+    >>> limiter = FixedWindowLimiter(1)
+    >>> limiter.try_take(5.0), limiter.try_take(5.5), limiter.try_take(6.0)
     (True, False, True)
     """
 
@@ -34,7 +34,7 @@
         self._second = -1
         self._used = 0
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Takes one line; False where none is left in this second."""
         if int(now) != self._second:
             self._second = int(now)
@@ -45,7 +45,7 @@
         return True
 
 
-class Writer:
+class NonBlockingWriter:
     """A bounded buffer before a pipe that may be full."""
 
     def __init__(self, descriptor: int):
@@ -57,7 +57,7 @@
         """Writes a line, or keeps it for later; never blocks."""
         self._waiting += line.encode("utf-8", "replace") + b"\n"
         self.flush()
-        if len(self._waiting) > BUFFER_BYTES:
+        if len(self._waiting) > MAX_BUFFERED_BYTES:
             lost = self._waiting.count(b"\n")
             dropped_by_event["(reader too slow)"] += lost
             self._waiting.clear()
@@ -84,14 +84,14 @@
     """Leaves lines out beyond the budget, and says how many."""
 
     def __init__(self):
-        self._plain = Budget(LINES_A_SECOND)
-        self._warnings = Budget(WARNINGS_A_SECOND)
+        self._plain = FixedWindowLimiter(MAX_LINES_PER_SECOND)
+        self._warnings = FixedWindowLimiter(MAX_WARNINGS_PER_SECOND)
         self._left_out: collections.Counter[str] = collections.Counter()
 
     def __call__(self, logger, method: str, event: dict) -> dict:
         now = time.monotonic()
-        budget = self._warnings if method in _WARNINGS else self._plain
-        if not budget.take(now):
+        limiter = self._warnings if method in _WARNINGS else self._plain
+        if not limiter.try_take(now):
             name = str(event.get("event"))
             self._left_out[name] += 1
             dropped_by_event[name] += 1
@@ -102,9 +102,9 @@
         return event
 
 
-def configure(level: int) -> Writer:
+def configure(level: int) -> NonBlockingWriter:
     """Sends log lines to standard output as JSON."""
-    writer = Writer(1)
+    writer = NonBlockingWriter(1)
     structlog.configure(
         processors=[
             _Bound(),
