--- a/forklift/ui/__init__.py
+++ b/forklift/ui/__init__.py
@@ -11,7 +11,7 @@
 # Each has a module of its name here, loaded once it is asked for: a process
 # that starts need not load what operators call.
 COMMANDS = ("check", "drain", "explain", "publish", "run", "state", "status")
-MISTAKE = 2
+EXIT_INVALID_INPUT = 2
 EPILOG = """\b
 Examples:
   forklift check examples/almadies-1.ini
@@ -55,7 +55,7 @@
         cli(standalone_mode=False)
     except errors.FileProblems as error:
         click.echo(str(error), err=True)
-        sys.exit(MISTAKE)
+        sys.exit(EXIT_INVALID_INPUT)
     except errors.UserError as error:
         click.echo(f"forklift: {error}", err=True)
         sys.exit(1)
--- a/forklift/ui/admin_client.py
+++ b/forklift/ui/admin_client.py
@@ -10,12 +10,12 @@
 from forklift import errors
 from forklift import report
 
-T = TypeVar("T")
-DEFAULT_ADMIN = "127.0.0.1:7004"
+ResponseT = TypeVar("ResponseT")
+DEFAULT_ADMIN_ADDRESS = "127.0.0.1:7004"
 
 admin_option = click.option(
     "--admin",
-    default=DEFAULT_ADMIN,
+    default=DEFAULT_ADMIN_ADDRESS,
     envvar="FORKLIFT_ADMIN",
     show_default=True,
     help="Admin address of any process of the fleet.",
@@ -23,13 +23,13 @@
 json_option = click.option(
     "--json", "as_json", is_flag=True, help="Print JSON for programs."
 )
-FAILED = 400
-TIMEOUT = 15.0
+MIN_ERROR_STATUS = 400
+REQUEST_TIMEOUT = 15.0
 
 
-def ask(
-    admin: str, method: str, path: str, kind: type[T], body: bytes = b""
-) -> T:
+def send_request(
+    admin: str, method: str, path: str, kind: type[ResponseT], body: bytes = b""
+) -> ResponseT:
     """Asks a process and decodes its answer.
 
     The shared key is taken from the environment variable FORKLIFT_KEY.
@@ -37,12 +37,12 @@
     Raises:
         errors.UserError: It can't be reached, or it refuses.
     """
-    return asyncio.run(_ask(admin, method, path, kind, body))
+    return asyncio.run(_send_request(admin, method, path, kind, body))
 
 
-async def _ask(
-    admin: str, method: str, path: str, kind: type[T], body: bytes
-) -> T:
+async def _send_request(
+    admin: str, method: str, path: str, kind: type[ResponseT], body: bytes
+) -> ResponseT:
     # Commands that ask nobody, `run` above all, need not load it.
     from forklift.shell import client  # noqa: PLC0415
 
@@ -51,7 +51,7 @@
     asker = client.Client(admin)
     try:
         response = await asker.request(
-            method, path, body, headers, timeout=TIMEOUT
+            method, path, body, headers, timeout=REQUEST_TIMEOUT
         )
     except (client.RequestFailed, ValueError) as error:
         raise errors.UserError(
@@ -60,7 +60,7 @@
         ) from error
     finally:
         asker.close()
-    if response.status >= FAILED:
+    if response.status >= MIN_ERROR_STATUS:
         raise errors.UserError(_problem(response.body))
     return msgspec.json.decode(response.body, type=kind)
 
@@ -72,19 +72,19 @@
         return "the process refused; look at its log"
 
 
-def show_json(value: object) -> None:
+def print_json(value: object) -> None:
     """Prints a report as indented JSON."""
     data = msgspec.json.encode(value)
     click.echo(msgspec.json.format(data, indent=2).decode())
 
 
-def find_target(admin: str, name: str) -> str:
+def find_target_admin(admin: str, name: str) -> str:
     """Admin address of the process beside a target.
 
     Raises:
         errors.UserError: It is not known.
     """
-    status = ask(admin, "GET", "/status", report.Status)
+    status = send_request(admin, "GET", "/status", report.Status)
     admin_by_process = {p.name: p.admin for p in status.processes}
     for target in status.targets:
         if target.name == name:
--- a/forklift/ui/drain.py
+++ b/forklift/ui/drain.py
@@ -3,7 +3,7 @@
 import click
 
 from forklift import report
-from forklift.ui import asking
+from forklift.ui import admin_client
 
 
 @click.command("drain")
@@ -14,16 +14,20 @@
     is_flag=True,
     help="Stop the process at --admin as planned, with all its targets.",
 )
-@asking.admin_option
+@admin_client.admin_option
 def command(target: str | None, everything: bool, admin: str) -> None:
     """Drain TARGET: it takes no new request, those in flight end."""
     if everything == bool(target):
         raise click.UsageError("give a TARGET, or --all; not both")
     if everything:
-        status = asking.ask(admin, "POST", "/drain", report.Status)
+        status = admin_client.send_request(
+            admin, "POST", "/drain", report.Status
+        )
         click.echo(f"process {status.process} stops as planned")
         return
-    beside = asking.find_target(admin, target)
+    beside = admin_client.find_target_admin(admin, target)
     path = f"/targets/{target}/drain"
-    drained = asking.ask(beside, "POST", path, report.TargetExplanation)
+    drained = admin_client.send_request(
+        beside, "POST", path, report.TargetExplanation
+    )
     click.echo(f"target {target} is {drained.state}, {drained.running} running")
--- a/forklift/ui/explain.py
+++ b/forklift/ui/explain.py
@@ -7,14 +7,14 @@
 from forklift import errors
 from forklift import log_trace
 from forklift import report
-from forklift.ui import asking
+from forklift.ui import admin_client
 
 
 @click.command("explain")
 @click.argument("name", metavar="REQUEST-ID|TARGET")
 @click.argument("logs", type=click.File("r"), nargs=-1)
-@asking.admin_option
-@asking.json_option
+@admin_client.admin_option
+@admin_client.json_option
 def command(name: str, logs: tuple, admin: str, as_json: bool) -> None:
     """Tell the story of a request or a target.
 
@@ -25,11 +25,13 @@
     if logs:
         _from_logs(name, logs)
         return
-    beside = asking.find_target(admin, name)
+    beside = admin_client.find_target_admin(admin, name)
     path = f"/explain/{name}"
-    told = asking.ask(beside, "GET", path, report.TargetExplanation)
+    told = admin_client.send_request(
+        beside, "GET", path, report.TargetExplanation
+    )
     if as_json:
-        asking.show_json(told)
+        admin_client.print_json(told)
     else:
         _show(told)
 
--- a/forklift/ui/publish.py
+++ b/forklift/ui/publish.py
@@ -6,7 +6,7 @@
 
 from forklift import errors
 
-CONFLICT = 3
+EXIT_CONFLICT = 3
 
 
 @click.command("publish")
@@ -23,7 +23,7 @@
         click.echo(asyncio.run(_publish(file.read(), store, dry_run)))
     except errors.PublishConflict as error:
         click.echo(f"forklift: {error}", err=True)
-        raise click.exceptions.Exit(CONFLICT) from error
+        raise click.exceptions.Exit(EXIT_CONFLICT) from error
 
 
 async def _publish(data: bytes, address: str, dry_run: bool) -> str:
--- a/forklift/ui/run.py
+++ b/forklift/ui/run.py
@@ -12,7 +12,7 @@
 # Loaded wherever they are installed: rich by structlog, for lines in colour, a
 # fifth of the processor time of a start, while lines here are JSON; ssl by
 # asyncio, a fifteenth, while connections here are plain.
-UNUSED = ("rich", "ssl")
+UNUSED_MODULES = ("rich", "ssl")
 
 
 @click.command("run")
@@ -24,7 +24,7 @@
     SIGTERM stops it as planned: no request in flight is cut off. SIGHUP reads
     the settings again.
     """
-    _load_lean()
+    _import_libraries()
     import asyncio  # noqa: PLC0415
 
     from forklift.shell import clock  # noqa: PLC0415
@@ -39,7 +39,7 @@
         runner.run(serve.serve(read, file))
 
 
-def _load_lean() -> None:
+def _import_libraries() -> None:
     """Has what serves load without what a start need not pay for.
 
     What is loaded lives for ever, so looking for garbage among it is in vain: a
@@ -47,7 +47,7 @@
     process serves.
     """
     gc.disable()
-    absent = [name for name in UNUSED if name not in sys.modules]
+    absent = [name for name in UNUSED_MODULES if name not in sys.modules]
     # The libraries take them for not installed.
     sys.modules.update(dict.fromkeys(absent))
     import asyncio  # noqa: F401, PLC0415
--- a/forklift/ui/state.py
+++ b/forklift/ui/state.py
@@ -3,11 +3,13 @@
 import click
 
 from forklift import report
-from forklift.ui import asking
+from forklift.ui import admin_client
 
 
 @click.command("state")
-@asking.admin_option
+@admin_client.admin_option
 def command(admin: str) -> None:
     """Print the full state of one process as JSON."""
-    asking.show_json(asking.ask(admin, "GET", "/state", report.StateDump))
+    admin_client.print_json(
+        admin_client.send_request(admin, "GET", "/state", report.StateDump)
+    )
--- a/forklift/ui/status.py
+++ b/forklift/ui/status.py
@@ -5,31 +5,33 @@
 import click
 
 from forklift import report
-from forklift.ui import asking
+from forklift.ui import admin_client
 
-WATCH_PERIOD = 1.0
+WATCH_INTERVAL = 1.0
 
 
 @click.command("status")
-@asking.admin_option
-@asking.json_option
+@admin_client.admin_option
+@admin_client.json_option
 @click.option("--watch", is_flag=True, help="Show it again every second.")
 def command(admin: str, as_json: bool, watch: bool) -> None:
     """Show targets and processes as one process sees them."""
     while True:
-        status = asking.ask(admin, "GET", "/status", report.Status)
+        status = admin_client.send_request(
+            admin, "GET", "/status", report.Status
+        )
         if as_json:
-            asking.show_json(status)
+            admin_client.print_json(status)
         else:
             if watch:
                 click.clear()
-            show(status)
+            print_status(status)
         if not watch:
             return
-        time.sleep(WATCH_PERIOD)
+        time.sleep(WATCH_INTERVAL)
 
 
-def show(status: report.Status) -> None:
+def print_status(status: report.Status) -> None:
     """Prints a status for people."""
     ready = "ready" if status.ready else "not ready"
     config = f"configuration {status.config}"
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -484,7 +484,7 @@
             work.close()
 
     monkeypatch.setattr(asyncio, "Runner", Runner)
-    monkeypatch.setattr(run, "_load_lean", lambda: None)
+    monkeypatch.setattr(run, "_import_libraries", lambda: None)
     monkeypatch.setattr(run.faulthandler, "enable", lambda: None)
     monkeypatch.setattr(logs, "configure", lambda level: None)
     file = str(helper.EXAMPLES / "almadies-1.ini")
--- a/test/test_start.py
+++ b/test/test_start.py
@@ -21,7 +21,7 @@
     "certifi",
     "opentelemetry",
     "prometheus_client",
-    "forklift.ui.asking",
+    "forklift.ui.admin_client",
     "forklift.ui.publish",
     "forklift.ui.status",
     "forklift.ui.explain",
@@ -36,14 +36,14 @@
 import json, sys
 from forklift import __main__
 from forklift.ui import run
-load = run._load_lean
+load = run._import_libraries
 def load_and_stop():
     load()
     import asyncio
     asyncio.Runner.run = lambda runner, work: (
         work.close(), print(json.dumps(list(sys.modules)))
     )
-run._load_lean = load_and_stop
+run._import_libraries = load_and_stop
 sys.argv = ["forklift", "run", {settings!r}]
 __main__.ui.main()
 """
