--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Call:
+class AdminRequest:
     """One request to the admin address.
 
     Attributes:
@@ -38,7 +38,7 @@
     body: bytes
 
 
-Handler = Callable[["Admin", Call], Awaitable[server.Response]]
+Handler = Callable[["AdminServer", AdminRequest], Awaitable[server.Response]]
 handler_by_route: dict[tuple[str, str], Handler] = {}
 # Read by scrapers and health checks that hold no key.
 _OPEN = ("healthz", "readyz", "metrics")
@@ -54,15 +54,15 @@
     return register
 
 
-class Admin:
+class AdminServer:
     """The admin server of one process."""
 
     def __init__(self, proxy):
         self.proxy = proxy
-        self.on_drain_all: Callable[[], None] = lambda: None
+        self.on_stop_requested: Callable[[], None] = lambda: None
         self._server = server.Server(self._answer)
         self._key = proxy.settings.process.key.encode()
-        self.refused = 0
+        self.rejected = 0
         # Built when metrics are first read.
         self.telemetry = None
 
@@ -95,20 +95,22 @@
         path, name = _split(method, target.path)
         handler = handler_by_route.get((method, path))
         if handler is None:
-            return problem(404, "no such call; see docs/OPERATIONS.md")
+            return error_response(404, "no such call; see docs/OPERATIONS.md")
         if path not in _OPEN and not self._allowed(request):
-            self.refused += 1
+            self.rejected += 1
             _log.warning("admin_refused", call=path)
-            return problem(
+            return error_response(
                 401, "the key is wrong or absent; pass the [process] key"
             )
         query = dict(urllib.parse.parse_qsl(target.query))
         try:
-            return await handler(self, Call(name, query, request.body))
+            return await handler(self, AdminRequest(name, query, request.body))
         except errors.UserError as error:
-            return problem(400, str(error))
+            return error_response(400, str(error))
         except msgspec.MsgspecError as error:
-            return problem(400, f"{error}; send the JSON that docs describe")
+            return error_response(
+                400, f"{error}; send the JSON that docs describe"
+            )
 
     def _allowed(self, request: server.Request) -> bool:
         if not self._key:
@@ -138,24 +140,24 @@
     return bare, ""
 
 
-def json(value: msgspec.Struct, status: int = 200) -> server.Response:
+def json_response(value: msgspec.Struct, status: int = 200) -> server.Response:
     """A reply with a report."""
     return server.Response(status, msgspec.json.encode(value))
 
 
-def problem(status: int, message: str) -> server.Response:
+def error_response(status: int, message: str) -> server.Response:
     """A reply with an error."""
-    return json(report.Problem(message), status)
+    return json_response(report.Problem(message), status)
 
 
 @handles("GET", "healthz")
-async def healthz(admin: Admin, call: Call) -> server.Response:
+async def healthz(admin: AdminServer, call: AdminRequest) -> server.Response:
     """Whether the process runs."""
     return server.Response(200, b"ok\n", b"text/plain")
 
 
 @handles("GET", "readyz")
-async def readyz(admin: Admin, call: Call) -> server.Response:
+async def readyz(admin: AdminServer, call: AdminRequest) -> server.Response:
     """Whether callers should be sent here."""
     ready = admin.proxy.ready()
     body = b"ready\n" if ready else b"not ready\n"
@@ -163,7 +165,7 @@
 
 
 @handles("GET", "metrics")
-async def metrics(admin: Admin, call: Call) -> server.Response:
+async def metrics(admin: AdminServer, call: AdminRequest) -> server.Response:
     """Metrics in the Prometheus text format."""
     # Loading the library costs 0.1 s, which a process that nobody scrapes
     # need not spend.
@@ -171,34 +173,38 @@
 
     if admin.telemetry is None:
         admin.telemetry = telemetry.Telemetry(admin.proxy)
-    text = admin.telemetry.text()
+    text = admin.telemetry.render()
     return server.Response(200, text, b"text/plain; version=0.0.4")
 
 
 @handles("GET", "status")
-async def status(admin: Admin, call: Call) -> server.Response:
+async def status(admin: AdminServer, call: AdminRequest) -> server.Response:
     """What the process sees of the fleet."""
-    return json(reports.status(admin.proxy))
+    return json_response(reports.build_status(admin.proxy))
 
 
 @handles("GET", "state")
-async def state(admin: Admin, call: Call) -> server.Response:
+async def state(admin: AdminServer, call: AdminRequest) -> server.Response:
     """The full dump of the process."""
-    return json(reports.state(admin.proxy))
+    return json_response(reports.build_state_dump(admin.proxy))
 
 
 @handles("GET", "explain/")
-async def explain(admin: Admin, call: Call) -> server.Response:
+async def explain_target(
+    admin: AdminServer, call: AdminRequest
+) -> server.Response:
     """The recent doubts about a target beside the process."""
     name = admin.proxy.target_registry.find(call.name)
-    found = reports.explain(admin.proxy, name or call.name)
+    found = reports.explain_target(admin.proxy, name or call.name)
     if found is None:
-        return problem(404, f"no target {call.name} beside this process")
-    return json(found)
+        return error_response(404, f"no target {call.name} beside this process")
+    return json_response(found)
 
 
 @handles("POST", "targets/")
-async def announce(admin: Admin, call: Call) -> server.Response:
+async def announce_target(
+    admin: AdminServer, call: AdminRequest
+) -> server.Response:
     """A target announces itself, or renews."""
     said = msgspec.json.decode(call.body, type=report.TargetAnnouncement)
     _check(call.name, said)
@@ -214,33 +220,39 @@
             said.sequence,
         )
     )
-    return json(reports.status(proxy))
+    return json_response(reports.build_status(proxy))
 
 
 @handles("POST", "targets/drain")
-async def drain(admin: Admin, call: Call) -> server.Response:
+async def drain_target(
+    admin: AdminServer, call: AdminRequest
+) -> server.Response:
     """A target is to take no new request."""
     name = admin.proxy.target_registry.find(call.name)
     if name is None:
-        return problem(404, f"no target {call.name} beside this process")
+        return error_response(404, f"no target {call.name} beside this process")
     admin.proxy.beside.drain(name)
-    return json(reports.explain(admin.proxy, name))
+    return json_response(reports.explain_target(admin.proxy, name))
 
 
 @handles("DELETE", "targets/")
-async def leave(admin: Admin, call: Call) -> server.Response:
+async def remove_target(
+    admin: AdminServer, call: AdminRequest
+) -> server.Response:
     """A target is gone."""
     admin.proxy.target_registry.record_leave(
         heartbeats.parse_incarnation(call.name)
     )
-    return json(reports.status(admin.proxy))
+    return json_response(reports.build_status(admin.proxy))
 
 
 @handles("POST", "drain")
-async def drain_all(admin: Admin, call: Call) -> server.Response:
+async def drain_process(
+    admin: AdminServer, call: AdminRequest
+) -> server.Response:
     """A planned stop of the process."""
-    admin.on_drain_all()
-    return json(reports.status(admin.proxy))
+    admin.on_stop_requested()
+    return json_response(reports.build_status(admin.proxy))
 
 
 def _check(name: str, said: report.TargetAnnouncement) -> None:
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -6,10 +6,10 @@
 from forklift.shell import beside
 
 # Organisations that a dump lists by name.
-LISTED = 20
+MAX_LISTED_ORGANISATIONS = 20
 
 
-def status(proxy) -> report.Status:
+def build_status(proxy) -> report.Status:
     """What a process sees of the fleet."""
     return report.Status(
         proxy.directory.own.name,
@@ -23,15 +23,17 @@
     )
 
 
-def state(proxy) -> report.StateDump:
+def build_state_dump(proxy) -> report.StateDump:
     """The full dump of a process."""
     requests = {
         "/".join(part for part in key if part): count
         for key, count in proxy.counters.requests_by_outcome.items()
     }
     return report.StateDump(
-        status(proxy),
-        tuple(explain(proxy, name) for name in proxy.beside.site_by_target),
+        build_status(proxy),
+        tuple(
+            explain_target(proxy, name) for name in proxy.beside.site_by_target
+        ),
         requests,
         {
             service: proxy.balancer.retries_refused(service)
@@ -64,11 +66,13 @@
             )
         )
     found.sort(key=lambda one: (-one.admitted - one.refused, one.name))
-    rest = found[LISTED:]
+    rest = found[MAX_LISTED_ORGANISATIONS:]
     if rest:
         admitted = sum(one.admitted for one in rest)
         refused = sum(one.refused for one in rest)
-        found[LISTED:] = [report.OrganisationUsage("", admitted, refused)]
+        found[MAX_LISTED_ORGANISATIONS:] = [
+            report.OrganisationUsage("", admitted, refused)
+        ]
     return tuple(found)
 
 
@@ -80,7 +84,7 @@
     }
 
 
-def explain(proxy, name: str) -> report.TargetExplanation | None:
+def explain_target(proxy, name: str) -> report.TargetExplanation | None:
     """Why a target beside this process stands so; None when not here."""
     site = proxy.beside.site_by_target.get(name)
     if site is None:
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -36,7 +36,7 @@
         store.decode,
         platform_headers.PLATFORM,
     )
-    front = admin.Admin(proxy)
+    front = admin.AdminServer(proxy)
     calls = endpoints.Endpoints(
         proxy.target_registry.record_heartbeat,
         proxy.target_registry.record_leave,
@@ -50,7 +50,7 @@
         proxy.request_stop()
         stop.set()
 
-    front.on_drain_all = ask_to_stop
+    front.on_stop_requested = ask_to_stop
     watcher = reload.Watcher(path, read, proxy.reload)
     loop = asyncio.get_running_loop()
     # Before callers are listened for: by its default the signal would end the
@@ -78,7 +78,7 @@
     front.close()
 
 
-async def _open_front(front: admin.Admin) -> None:
+async def _open_front(front: admin.AdminServer) -> None:
     """Callers are served even where operators can't ask."""
     try:
         await front.open()
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -14,8 +14,8 @@
 from forklift import invariants
 from forklift.shell import logs
 
-Reading = tuple[float, dict[str, str]]
-Read = Callable[[], Iterable[Reading]]
+Sample = tuple[float, dict[str, str]]
+ReadSamples = Callable[[], Iterable[Sample]]
 
 
 class Telemetry:
@@ -34,17 +34,19 @@
         self._add_targets(proxy)
         self._add_fleet(proxy)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """All metrics in the Prometheus text format."""
         return prometheus_client.generate_latest()
 
-    def counter(self, name: str, description: str, read: Read) -> None:
+    def add_counter(
+        self, name: str, description: str, read: ReadSamples
+    ) -> None:
         """Adds a counter that is read when scraped."""
         self._meter.create_observable_counter(
             name, callbacks=[_callback(read)], description=description
         )
 
-    def gauge(self, name: str, description: str, read: Read) -> None:
+    def add_gauge(self, name: str, description: str, read: ReadSamples) -> None:
         """Adds a gauge that is read when scraped."""
         self._meter.create_observable_gauge(
             name, callbacks=[_callback(read)], description=description
@@ -52,7 +54,7 @@
 
     def _add_requests(self, proxy) -> None:
         kept = proxy.counters
-        self.counter(
+        self.add_counter(
             "forklift.requests",
             "Requests at this entry by outcome and reason",
             lambda: [
@@ -62,7 +64,7 @@
                 )
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.request.seconds.bucket",
             "Requests that took up to `le` seconds",
             lambda: [
@@ -71,7 +73,7 @@
                 for bound, count in found.cumulative()
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.request.seconds.sum",
             "Seconds that requests took in all",
             lambda: [
@@ -79,7 +81,7 @@
                 for service, found in kept.durations_by_service.items()
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.sends",
             "Attempts at targets",
             lambda: [
@@ -91,7 +93,7 @@
 
     def _add_targets(self, proxy) -> None:
         sites = proxy.beside.site_by_target
-        self.counter(
+        self.add_counter(
             "forklift.doubts",
             "Doubts raised about targets beside, by sign",
             lambda: [
@@ -99,7 +101,7 @@
                 for sign, count in proxy.counters.ejections_by_signal.items()
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.refusals",
             "Requests that gates refused, by reason",
             lambda: [
@@ -108,7 +110,7 @@
                 for reason, count in site.controller.refusals_by_reason.items()
             ],
         )
-        self.gauge(
+        self.add_gauge(
             "forklift.targets.running",
             "Requests that targets beside run and wait for",
             lambda: [
@@ -120,7 +122,7 @@
                 )
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.connections",
             "Connections to targets beside",
             lambda: [
@@ -134,7 +136,7 @@
         )
 
     def _add_fleet(self, proxy) -> None:
-        self.counter(
+        self.add_counter(
             "forklift.store.calls",
             "Calls to the store",
             lambda: [
@@ -142,7 +144,7 @@
                 (proxy.store.failures, {"kind": "failed"}),
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.control.bytes",
             "Bytes of control messages",
             lambda: [
@@ -150,12 +152,12 @@
                 (proxy.control.received_bytes, {"way": "in"}),
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.control.renewed",
             "Control connections opened anew as something was not answered",
             lambda: [(proxy.control.renewed, {})],
         )
-        self.counter(
+        self.add_counter(
             "forklift.logs.dropped",
             "Log lines left out, by event",
             lambda: [
@@ -163,43 +165,43 @@
                 for event, count in logs.dropped_by_event.items()
             ],
         )
-        self.counter(
+        self.add_counter(
             "forklift.invariants.broken",
             "Broken promises",
             lambda: _by(invariants.violations_by_invariant, "promise"),
         )
-        self.counter(
+        self.add_counter(
             "forklift.expressions.failed",
             "Policy expressions that fell back to their default",
             lambda: _by(expressions.failures_by_expression, "expression"),
         )
-        self.counter(
+        self.add_counter(
             "forklift.unreadable",
             "What came from outside and could not be used, by source",
             lambda: _by(invalid_input.count_by_source, "source"),
         )
-        self.gauge(
+        self.add_gauge(
             "forklift.config.version",
             "Version of the configuration in force",
             lambda: [(proxy.active_catalog.catalog.version, {})],
         )
-        self.gauge(
+        self.add_gauge(
             "forklift.peers",
             "Processes that are known and usable, this one too",
             lambda: [(proxy.balancer.process_count, {})],
         )
-        self.gauge(
+        self.add_gauge(
             "forklift.running",
             "Requests in flight in any role",
             lambda: [(proxy.running(), {})],
         )
 
 
-def _by(values: dict, label: str) -> list[Reading]:
+def _by(values: dict, label: str) -> list[Sample]:
     return [(count, {label: str(key)}) for key, count in values.items()]
 
 
-def _callback(read: Read):
+def _callback(read: ReadSamples):
     def observe(options: metrics.CallbackOptions):
         for value, labels in read():
             yield metrics.Observation(value, labels)
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -94,7 +94,7 @@
         answer = await ask(fleet, *fields)
         assert answer.status == 401
         assert fleet.runs() == 0
-        counted = reports.state(fleet.proxies[0]).requests
+        counted = reports.build_state_dump(fleet.proxies[0]).requests
         assert counted == {"not-run/unknown-caller": 1}
         for key in KEYS:
             assert key.encode() not in answer.body
@@ -226,7 +226,7 @@
         left.append(first.active_catalog.catalog.record)
         left.extend(one.head for t in fleet.targets for one in t.received)
         for one in fleet.proxies:
-            left.append(msgspec.json.encode(reports.state(one)))
+            left.append(msgspec.json.encode(reports.build_state_dump(one)))
             left.append(repr(vars(one.active_catalog.catalog.callers)).encode())
         left.append(await metrics(first))
         for (topic, _), partition in fleet.store.partition_by_place.items():
@@ -259,8 +259,8 @@
 
 
 async def metrics(one) -> bytes:
-    call = admin.Call("", {}, b"")
-    return (await admin.metrics(admin.Admin(one), call)).body
+    call = admin.AdminRequest("", {}, b"")
+    return (await admin.metrics(admin.AdminServer(one), call)).body
 
 
 # Rate limits of whole processes.
@@ -307,7 +307,7 @@
         told = [one for one in logs if one["event"] == "limited"]
         assert told[0]["organisation"] == "fund"
         assert told[0]["rate"] == 5
-        use = reports.state(fleet.proxies[0]).organisations[0]
+        use = reports.build_state_dump(fleet.proxies[0]).organisations[0]
         assert (use.name, use.rate) == ("fund", 5)
         assert use.refused > 0
 
--- a/test/test_ui.py
+++ b/test/test_ui.py
@@ -187,7 +187,7 @@
 
     async def work():
         async with processes.Fleet([[], []]) as fleet:
-            front = admin.Admin(fleet.proxies[0])
+            front = admin.AdminServer(fleet.proxies[0])
             front._server.address = ""
             await front._server.open("127.0.0.1:0")
             address = front._server.address
