--- a/forklift/shell/sealing.py
+++ b/forklift/shell/authentication.py
@@ -50,7 +50,7 @@
         return True
 
 
-class Seal:
+class MessageAuthenticator:
     """Puts codes on messages, and checks those of others."""
 
     def __init__(self, boot: int, key: bytes, wall: Callable[[], float]):
@@ -60,13 +60,13 @@
         self._counter = 0
         self._seen_by_boot: dict[int, _Seen] = {}
 
-    def seal(self, receiver: str, data: bytes) -> bytes:
+    def sign(self, receiver: str, data: bytes) -> bytes:
         """A message with its code, for one address."""
         self._counter += 1
         header = _HEADER.pack(self._boot, self._counter, self._wall())
         return header + self._code(receiver, header, data) + data
 
-    def unseal(self, own: str, sealed: bytes) -> bytes:
+    def verify(self, own: str, sealed: bytes) -> bytes:
         """The message in what arrived at this address.
 
         Raises:
--- a/forklift/shell/beside.py
+++ b/forklift/shell/beside.py
@@ -164,7 +164,7 @@
 
         Raises:
             asyncio.CancelledError: The sender gave up.
-            wire.Lost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink is gone.
         """
         name = self._name_by_earlier.get(target, target)
         site = self.site_by_target.get(name)
--- a/forklift/shell/client.py
+++ b/forklift/shell/client.py
@@ -7,7 +7,7 @@
 import h11
 
 from forklift.shell import http
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 
 class RequestFailed(ConnectionError):
@@ -43,7 +43,7 @@
     def __init__(self, address: str):
         self.address = address
         self._idle: collections.deque[
-            tuple[wire.Connection, h11.Connection]
+            tuple[tcp_stream.Connection, h11.Connection]
         ] = collections.deque()
 
     async def request(
@@ -90,17 +90,17 @@
         while self._idle:
             self._idle.pop()[0].abort()
 
-    async def _take(self) -> tuple[wire.Connection, h11.Connection]:
+    async def _take(self) -> tuple[tcp_stream.Connection, h11.Connection]:
         while self._idle:
             connection, protocol = self._idle.pop()
             if not connection.closed and not connection.buffered:
                 return connection, protocol
             connection.abort()
-        connection = await wire.connect(self.address)
+        connection = await tcp_stream.connect(self.address)
         return connection, h11.Connection(h11.CLIENT)
 
     def _give(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> None:
         if protocol.our_state is h11.DONE and protocol.their_state is h11.DONE:
             protocol.start_next_cycle()
@@ -110,7 +110,7 @@
 
     def _send(
         self,
-        connection: wire.Connection,
+        connection: tcp_stream.Connection,
         protocol: h11.Connection,
         method: str,
         path: str,
@@ -129,7 +129,7 @@
         connection.write(data)
 
     async def _receive(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> Response:
         head = None
         body = bytearray()
--- a/forklift/shell/control.py
+++ b/forklift/shell/control_channel.py
@@ -11,12 +11,12 @@
 import structlog
 
 from forklift import messages
+from forklift.shell import authentication
 from forklift.shell import datagrams
-from forklift.shell import pushes
-from forklift.shell import sealing
+from forklift.shell import push_sockets
 
 # What `Control.open` raises besides OSError.
-Taken = pushes.pynng.NNGException
+ListenError = push_sockets.pynng.NNGException
 
 _log = structlog.get_logger(__name__)
 
@@ -29,7 +29,7 @@
 PORTS_TRIED = 16
 
 
-class Control:
+class ControlChannel:
     """Sends and receives control messages; see `interfaces.Transport`."""
 
     def __init__(
@@ -44,10 +44,14 @@
         self._address = address
         # Where others send to, if that is another address; codes cover it.
         self._public = public
-        self._seal = sealing.Seal(boot, key, wall) if key else None
+        self._seal = (
+            authentication.MessageAuthenticator(boot, key, wall)
+            if key
+            else None
+        )
         self._on_message = on_message
         self._datagrams = datagrams.Datagrams(self._take)
-        self._pushes = pushes.Pushes(self._take)
+        self._push_sockets = push_sockets.PushSockets(self._take)
         self.sent = 0
         self.sent_bytes = 0
         self.dropped = 0
@@ -62,14 +66,14 @@
             pynng.AddressInUse, OSError: The address is taken.
         """
         for left in reversed(range(PORTS_TRIED)):
-            found = self._pushes.open(self._address)
+            found = self._push_sockets.open(self._address)
             try:
                 self._datagrams.open(found)
             except OSError as error:
                 chosen = found != self._address
                 if error.errno != errno.EADDRINUSE or not (chosen and left):
                     raise
-                self._pushes.leave()
+                self._push_sockets.leave()
                 continue
             self._address = found
             return
@@ -82,12 +86,12 @@
     @property
     def renewed(self) -> int:
         """Connections that were opened anew as one fell silent."""
-        return self._pushes.renewed
+        return self._push_sockets.renewed
 
     async def close(self) -> None:
         """Closes all sockets."""
         self._datagrams.close()
-        await self._pushes.close()
+        await self._push_sockets.close()
 
     def send(
         self, address: str, message: messages.Control, renew: bool = False
@@ -95,11 +99,11 @@
         """See `interfaces.Transport`."""
         data = _pack(messages.encode(message))
         if self._seal is not None:
-            data = self._seal.seal(address, data)
+            data = self._seal.sign(address, data)
         if len(data) <= datagrams.MOST:
             taken = self._datagrams.send(address, data)
         else:
-            taken = self._pushes.send(address, data, renew)
+            taken = self._push_sockets.send(address, data, renew)
         if not taken:
             self.dropped += 1
             return False
@@ -112,7 +116,7 @@
         self.received_bytes += len(data)
         try:
             if self._seal is not None:
-                data = self._seal.unseal(self._public or self._address, data)
+                data = self._seal.verify(self._public or self._address, data)
             message = messages.decode_control(_unpack(data))
         except messages.MalformedMessage as error:
             self.refused += 1
--- a/forklift/shell/neighbours.py
+++ b/forklift/shell/control_protocols.py
@@ -33,7 +33,7 @@
 ASKED_FOR_WORK = 2
 
 
-class Neighbours:
+class ControlProtocols:
     """Membership, and what travels with it."""
 
     def __init__(
--- a/forklift/shell/datagrams.py
+++ b/forklift/shell/datagrams.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 # Largest message, bytes: what no network of the usual kind splits, with room
 # for the headers of tunnels.
@@ -34,7 +34,7 @@
         """
         made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            made.bind(wire.split_address(address))
+            made.bind(tcp_stream.split_address(address))
         except OSError:
             made.close()
             raise
@@ -53,7 +53,7 @@
     def send(self, address: str, data: bytes) -> bool:
         """Sends a message; False where the system does not take it."""
         try:
-            self._socket.sendto(data, wire.split_address(address))
+            self._socket.sendto(data, tcp_stream.split_address(address))
         except (OSError, ValueError, OverflowError):
             return False
         return True
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forward.py
@@ -22,7 +22,7 @@
 from forklift import retries
 from forklift.shell import beside as besides
 from forklift.shell import exchange
-from forklift.shell import links as linking
+from forklift.shell import peer_connections
 from forklift.shell import racing
 from forklift.shell import response_buffer
 from forklift.shell import sending
@@ -49,7 +49,7 @@
         boot: int,
         balancer: load_balancer.LoadBalancer,
         beside: besides.Beside,
-        links: linking.Links,
+        links: peer_connections.PeerConnections,
         program,
         clock,
         rng: random.Random,
@@ -83,7 +83,7 @@
         """Runs a request on a target of its service.
 
         Raises:
-            wire.Lost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink is gone.
             asyncio.CancelledError: The caller gave up.
         """
         passage = _Passage(self, request, sink)
--- a/forklift/shell/framing.py
+++ b/forklift/shell/framing.py
@@ -31,11 +31,11 @@
 _FLUSHED = b"\0\0\xff\xff"
 
 
-class Lost(ConnectionError):
+class PeerConnectionLost(ConnectionError):
     """The connection to another process is gone.
 
-    It is not `wire.Lost`: a request may go over another one, and its caller
-    still waits.
+    It is not `tcp_stream.ConnectionLost`: a request may go over another one,
+    and its caller still waits.
     """
 
 
@@ -147,10 +147,10 @@
         """Queues a frame.
 
         Raises:
-            Lost: The connection is gone, and nothing of it was sent.
+            PeerConnectionLost: The connection is gone; nothing was sent.
         """
         if self.lost:
-            raise Lost("peer connection lost")
+            raise PeerConnectionLost("peer connection lost")
         data = messages.encode(frame)
         mark = 0
         if self._gains(frame, data):
@@ -171,11 +171,11 @@
         """Waits until the other side takes bytes again.
 
         Raises:
-            Lost: The connection is gone.
+            PeerConnectionLost: The connection is gone.
         """
         await self._can_write.wait()
         if self.lost:
-            raise Lost("peer connection lost")
+            raise PeerConnectionLost("peer connection lost")
 
     def _split(self) -> None:
         start = 0
@@ -218,13 +218,13 @@
         """Waits for credit and takes up to `most` of it.
 
         Raises:
-            Lost: The stream is gone.
+            PeerConnectionLost: The stream is gone.
         """
         while self._credit <= 0 and not self.lost:
             self._news.clear()
             await self._news.wait()
         if self.lost:
-            raise Lost("stream lost")
+            raise PeerConnectionLost("stream lost")
         size = min(most, self._credit)
         self._credit -= size
         return size
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -25,7 +25,7 @@
 from forklift.shell import http
 from forklift.shell import request_body
 from forklift.shell import response_writer
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
@@ -112,7 +112,7 @@
         """Connections that are open."""
         return len(self._sessions)
 
-    def accept(self, connection: wire.Connection) -> None:
+    def accept(self, connection: tcp_stream.Connection) -> None:
         """Serves a new connection, or refuses it when there are too many."""
         if self.closed:
             # Nobody waits for what it would send.
@@ -157,7 +157,7 @@
 class _Session:
     """One connection of a caller."""
 
-    def __init__(self, ingress: Ingress, connection: wire.Connection):
+    def __init__(self, ingress: Ingress, connection: tcp_stream.Connection):
         self._ingress = ingress
         self._hooks = ingress.hooks
         self._clock = ingress.clock
@@ -228,7 +228,7 @@
                 pass
             await self._settle()
             await self._part()
-        except (wire.Lost, ConnectionError):
+        except (tcp_stream.ConnectionLost, ConnectionError):
             self._hang_up()
             self.connection.abort()
         except (TimeoutError, exchange.IncompleteBody):
@@ -461,7 +461,7 @@
                 await self._problem(answer, result, "")
             else:
                 await self._run(request, answer)
-        except (wire.Lost, h11.LocalProtocolError) as error:
+        except (tcp_stream.ConnectionLost, h11.LocalProtocolError) as error:
             _log.debug("caller_lost", detail=str(error))
             self._break()
         except asyncio.CancelledError:
@@ -493,7 +493,7 @@
         if result.ending.outcome is Outcome.ANSWERED:
             return
         if answer.has_started:
-            raise wire.Lost("the answer broke off")
+            raise tcp_stream.ConnectionLost("the answer broke off")
         await self._problem(answer, result, request.id)
 
     async def _problem(
@@ -548,7 +548,7 @@
         )
         try:
             self.connection.write(head.encode() + body)
-        except wire.Lost:
+        except tcp_stream.ConnectionLost:
             _log.debug("caller_lost", detail="before its refusal")
 
 
--- a/forklift/shell/peers.py
+++ b/forklift/shell/peer_client.py
@@ -16,13 +16,13 @@
 from forklift import messages
 from forklift.shell import exchange
 from forklift.shell import framing
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 HELLO_TIMEOUT = 2.0
 FENCE_TIMEOUT = 0.5
 
 
-class Refused(errors.ForkliftError):
+class AuthenticationFailed(errors.ForkliftError):
     """The other side did not show that it knows the shared key."""
 
     def __init__(self, peer: str):
@@ -43,7 +43,7 @@
         self.failure: messages.Failure | None = None
 
 
-class Link:
+class ClientConnection:
     """One connection to a peer; both sides may ask over their own."""
 
     def __init__(self, frames: framing.Frames, own: messages.Hello, key: bytes):
@@ -88,7 +88,7 @@
 
         Raises:
             errors.PeerUnreachable: Nothing was sent.
-            wire.Lost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink is gone.
             asyncio.CancelledError: The caller gave up.
         """
         if self.lost:
@@ -141,7 +141,7 @@
             )
             async with asyncio.timeout(FENCE_TIMEOUT):
                 return await future
-        except (TimeoutError, framing.Lost):
+        except (TimeoutError, framing.PeerConnectionLost):
             return False
         finally:
             del self._fence_by_id[stream]
@@ -209,8 +209,8 @@
         except (
             exchange.IncompleteBody,
             h11.ProtocolError,
-            framing.Lost,
-            wire.Lost,
+            framing.PeerConnectionLost,
+            tcp_stream.ConnectionLost,
             TimeoutError,
         ):
             if not self.lost:
@@ -260,7 +260,9 @@
         wanted = framing.prove(self._key, self.peer.nonce, self._own.nonce)
         if not hmac.compare_digest(wanted, proof.digest):
             if not self.ready.done():
-                self.ready.set_exception(Refused(self._frames.peer))
+                self.ready.set_exception(
+                    AuthenticationFailed(self._frames.peer)
+                )
             self._frames.transport.abort()
             return
         self.proven = True
@@ -295,7 +297,7 @@
         for asked in self._asked_by_id.values():
             self._break(asked)
         if not self.ready.done():
-            self.ready.set_exception(framing.Lost("peer closed"))
+            self.ready.set_exception(framing.PeerConnectionLost("peer closed"))
         # Nobody may be waiting for it.
         self.ready.exception()
         self.on_lost()
@@ -316,19 +318,21 @@
     return exchange.unknown(failure.reason, failure.load)
 
 
-async def open_link(address: str, own: messages.Hello, key: bytes) -> Link:
+async def connect(
+    address: str, own: messages.Hello, key: bytes
+) -> ClientConnection:
     """Connects to a peer and proves the shared key.
 
     Raises:
         OSError: Unreachable.
         Refused: The peer does not know the key.
     """
-    host, port = wire.split_address(address)
+    host, port = tcp_stream.split_address(address)
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(HELLO_TIMEOUT):
         _, frames = await loop.create_connection(framing.Frames, host, port)
-        wire.bound_silence(frames.transport)
-        link = Link(frames, own, key)
+        tcp_stream.bound_silence(frames.transport)
+        link = ClientConnection(frames, own, key)
         link.open()
         await link.ready
     return link
--- a/forklift/shell/links.py
+++ b/forklift/shell/peer_connections.py
@@ -11,7 +11,7 @@
 from forklift import messages
 from forklift import reachability
 from forklift.shell import framing
-from forklift.shell import peers
+from forklift.shell import peer_client
 
 _log = structlog.get_logger(__name__)
 
@@ -20,7 +20,7 @@
 OPEN_WAIT = 0.25
 
 
-class Links:
+class PeerConnections:
     """Opens connections on demand and shares them among requests."""
 
     def __init__(
@@ -38,17 +38,17 @@
         self._hello = hello
         self._key = key
         self._clock = clock
-        self.link_by_process: dict[str, peers.Link] = {}
+        self.connection_by_process: dict[str, peer_client.ClientConnection] = {}
         self._opening_by_process: dict[str, asyncio.Task] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    async def get(self, process: str) -> peers.Link:
+    async def get(self, process: str) -> peer_client.ClientConnection:
         """The connection to a process, opened where there is none.
 
         Raises:
             errors.PeerUnreachable: Nothing was sent.
         """
-        link = self.link_by_process.get(process)
+        link = self.connection_by_process.get(process)
         if link is not None and not link.lost:
             return link
         opening = self._begin(process)
@@ -77,16 +77,16 @@
     def tick(self) -> None:
         """Judges paths by the signs of life that peers owe."""
         now = self._clock.monotonic()
-        for process, link in list(self.link_by_process.items()):
+        for process, link in list(self.connection_by_process.items()):
             if link.lost:
-                del self.link_by_process[process]
+                del self.connection_by_process[process]
             elif link.waiting:
                 self._reachability.expect_reply(process, now)
             else:
                 self._reachability.cancel_expected_reply(process)
         for process in self._reachability.take_timed_out(now):
             _log.warning("peer_lost", process=process, cause="silent")
-            link = self.link_by_process.get(process)
+            link = self.connection_by_process.get(process)
             if link is not None:
                 link.give_up_repeatable()
         for process in self._reachability.take_due_heartbeats(now):
@@ -98,23 +98,23 @@
         """Processes that are connected, other than one, and not silent."""
         return [
             name
-            for name, link in self.link_by_process.items()
+            for name, link in self.connection_by_process.items()
             if name != process and not link.lost and not link.silenced.is_set()
         ]
 
     def close(self) -> None:
         """Closes all connections."""
-        for link in self.link_by_process.values():
+        for link in self.connection_by_process.values():
             link.close()
 
     async def _ask_for_sign(self, process: str) -> None:
         try:
             link = await self.get(process)
             link.beat()
-        except (errors.PeerUnreachable, framing.Lost):
+        except (errors.PeerUnreachable, framing.PeerConnectionLost):
             return
 
-    async def _open(self, process: str) -> peers.Link:
+    async def _open(self, process: str) -> peer_client.ClientConnection:
         now = self._clock.monotonic
         member = self._directory.member_by_name.get(process)
         if member is None:
@@ -124,8 +124,12 @@
         far = member.info.domain != self._directory.own.domain
         hello = msgspec.structs.replace(self._hello(), compress=far)
         try:
-            link = await peers.open_link(member.info.peer, hello, self._key)
-        except (OSError, TimeoutError, peers.Refused) as error:
+            link = await peer_client.connect(member.info.peer, hello, self._key)
+        except (
+            OSError,
+            TimeoutError,
+            peer_client.AuthenticationFailed,
+        ) as error:
             self._fail(process, "unreachable", now())
             detail = str(error) or type(error).__name__
             raise errors.PeerUnreachable(process, detail) from error
@@ -139,7 +143,7 @@
         link.on_lost = lambda: self._lost(process, link)
         # It has just shown that both ways are open.
         self._hear(process)
-        self.link_by_process[process] = link
+        self.connection_by_process[process] = link
         return link
 
     def _fail(self, process: str, cause: str, now: float) -> None:
@@ -151,9 +155,9 @@
         if self._reachability.record_reply(process):
             _log.info("peer_back", process=process)
 
-    def _lost(self, process: str, link: peers.Link) -> None:
+    def _lost(self, process: str, link: peer_client.ClientConnection) -> None:
         """A connection broke: the path is avoided until a new one opens."""
-        if self.link_by_process.get(process) is not link:
+        if self.connection_by_process.get(process) is not link:
             return
-        del self.link_by_process[process]
+        del self.connection_by_process[process]
         self._fail(process, "lost", self._clock.monotonic())
--- a/forklift/shell/served.py
+++ b/forklift/shell/peer_server.py
@@ -12,15 +12,15 @@
 from forklift import messages
 from forklift.shell import exchange
 from forklift.shell import framing
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 Handler = Callable[
-    ["Served", messages.RequestStart, exchange.Body, "Answerer"],
+    ["ServerConnection", messages.RequestStart, exchange.Body, "ResponseSink"],
     Awaitable[exchange.Result],
 ]
 
 
-class Answerer:
+class ResponseSink:
     """The sink of an answer that goes back to the peer that asked."""
 
     def __init__(self, frames: framing.Frames, stream: int, request_id: str):
@@ -63,11 +63,11 @@
     """To the side that answers, the peer that asked is the caller."""
     try:
         yield
-    except framing.Lost as error:
-        raise wire.Lost(str(error)) from error
+    except framing.PeerConnectionLost as error:
+        raise tcp_stream.ConnectionLost(str(error)) from error
 
 
-class Served:
+class ServerConnection:
     """One connection of a peer that asks us."""
 
     def __init__(
@@ -89,7 +89,7 @@
         self._fence = fence
         self._on_refused = on_refused
         self._task_by_id: dict[int, asyncio.Task] = {}
-        self._answerer_by_id: dict[int, Answerer] = {}
+        self._answerer_by_id: dict[int, ResponseSink] = {}
         self._pieces_by_id: dict[int, exchange.BodyStream] = {}
         self._relays: set[asyncio.Task] = set()
         self.last_start = float("-inf")
@@ -208,7 +208,7 @@
         body = exchange.Body(start.body)
         if not start.complete:
             body = exchange.Body(b"", self._rest(start))
-        answerer = Answerer(self._frames, start.id, start.request_id)
+        answerer = ResponseSink(self._frames, start.id, start.request_id)
         self._answerer_by_id[start.id] = answerer
         task = asyncio.get_running_loop().create_task(
             self._serve(start, body, answerer)
@@ -226,7 +226,7 @@
         self,
         start: messages.RequestStart,
         body: exchange.Body,
-        answerer: Answerer,
+        answerer: ResponseSink,
     ) -> None:
         try:
             result = await self._handler(self, start, body, answerer)
@@ -235,7 +235,7 @@
         except asyncio.CancelledError:
             result = exchange.unknown(messages.Reason.CANCELLED)
             self._fail(start, result)
-        except wire.Lost:
+        except tcp_stream.ConnectionLost:
             pass
         finally:
             answerer.sending.fail()
--- a/forklift/shell/pool.py
+++ b/forklift/shell/pool.py
@@ -7,7 +7,7 @@
 
 from forklift import errors
 from forklift import messages
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 Reason = messages.Reason
 
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Idle:
-    connection: wire.Connection
+    connection: tcp_stream.Connection
     since: float
     until: float
 
@@ -52,9 +52,9 @@
         self.reused = 0
         self._now = now
         self._idle: collections.deque[_Idle] = collections.deque()
-        self._busy: set[wire.Connection] = set()
+        self._busy: set[tcp_stream.Connection] = set()
 
-    async def take(self, idempotent: bool) -> wire.Connection:
+    async def take(self, idempotent: bool) -> tcp_stream.Connection:
         """A connection that carries nothing.
 
         Raises:
@@ -74,7 +74,7 @@
             raise NotSent(Reason.BUSY, "its connections are in use")
         return await self._connect()
 
-    def give(self, connection: wire.Connection, idle: float) -> None:
+    def give(self, connection: tcp_stream.Connection, idle: float) -> None:
         """Returns a connection whose answer was whole and its own."""
         if idle <= 0 or connection.closed or connection.buffered:
             self.discard(connection)
@@ -83,7 +83,7 @@
         self._busy.discard(connection)
         self._idle.append(_Idle(connection, now, now + idle))
 
-    def discard(self, connection: wire.Connection) -> None:
+    def discard(self, connection: tcp_stream.Connection) -> None:
         """Closes a connection; whatever it still brings is never read."""
         self.open -= 1
         self._busy.discard(connection)
@@ -113,11 +113,11 @@
 
     async def _connect(
         self, timeout: float = CONNECT_TIMEOUT
-    ) -> wire.Connection:
+    ) -> tcp_stream.Connection:
         self.open += 1
         try:
             connection = await asyncio.wait_for(
-                wire.connect(self.address), timeout
+                tcp_stream.connect(self.address), timeout
             )
         except (OSError, TimeoutError) as error:
             self.open -= 1
--- a/forklift/shell/probe.py
+++ b/forklift/shell/probe.py
@@ -10,7 +10,7 @@
 from forklift import header_fields
 from forklift import invalid_input
 from forklift.shell import http
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 _log = structlog.get_logger(__name__)
 
@@ -48,7 +48,7 @@
     connection = None
     try:
         async with asyncio.timeout(PROBE_TIMEOUT):
-            connection = await wire.connect(address)
+            connection = await tcp_stream.connect(address)
             return await _ask(connection, address, path, header_names)
     except (OSError, TimeoutError, h11.ProtocolError) as error:
         _log.info("probe_failed", address=address, detail=repr(error))
@@ -59,7 +59,7 @@
 
 
 async def _ask(
-    connection: wire.Connection,
+    connection: tcp_stream.Connection,
     address: str,
     path: str,
     header_names: header_fields.HeaderNames,
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -26,21 +26,21 @@
 from forklift.shell import beside
 from forklift.shell import clock as clocks
 from forklift.shell import configuration_loader
-from forklift.shell import control
+from forklift.shell import control_channel
+from forklift.shell import control_protocols
 from forklift.shell import exchange
 from forklift.shell import forward
 from forklift.shell import framing
 from forklift.shell import ingress
-from forklift.shell import links
-from forklift.shell import neighbours
+from forklift.shell import peer_connections
+from forklift.shell import peer_server
 from forklift.shell import quarantine_store
 from forklift.shell import rate_limiting
-from forklift.shell import served as serving
 from forklift.shell import shutdown
 from forklift.shell import store_follower
 from forklift.shell import target_registry
+from forklift.shell import tcp_stream
 from forklift.shell import ticker
-from forklift.shell import wire
 
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
@@ -86,7 +86,7 @@
         self._tasks: set[asyncio.Task] = set()
         self._servers: list[asyncio.Server] = []
         # Connections of peers that ask us.
-        self.served: set[serving.Served] = set()
+        self.served: set[peer_server.ServerConnection] = set()
         self.policy = load_policy(read)
         self._started_at = self.clock.monotonic()
         self._last_tick = self._started_at
@@ -102,8 +102,8 @@
             decode,
             self.active_catalog,
             self.clock,
-            lambda: self.neighbours.newest_heard,
-            lambda: self.neighbours.alone,
+            lambda: self.control_protocols.newest_heard,
+            lambda: self.control_protocols.alone,
             self._taken,
         )
         self.quarantine = quarantine.Quarantine()
@@ -114,7 +114,7 @@
     def _build(self) -> None:
         own = self.settings.process
         self.ticker = ticker.Ticker(self._tick_safely, self._busy)
-        self.control = control.Control(
+        self.control_channel = control_channel.ControlChannel(
             own.control,
             self.boot,
             self._key,
@@ -145,7 +145,7 @@
             self.active_catalog,
             self.beside,
             self.clock,
-            lambda: self.neighbours.tell_all(),
+            lambda: self.control_protocols.tell_all(),
         )
         self.quarantine_store = quarantine_store.QuarantineStore(
             own.name,
@@ -156,26 +156,26 @@
             self.spawn,
             lambda: self.directory.alive(),
         )
-        self.neighbours = neighbours.Neighbours(
+        self.control_protocols = control_protocols.ControlProtocols(
             self._describe_first(),
             self._rng,
             self.clock,
             self.active_catalog,
             self.balancer,
             self.beside,
-            self.control.send,
+            self.control_channel.send,
             self.configuration_loader.receive,
             self.target_registry.record_remembered_leave,
             self.quarantine,
             self.quarantine_store.load,
         )
-        self.directory = self.neighbours.directory
+        self.directory = self.control_protocols.directory
         self.rate_limiter = rate_limiting.AsyncLimiter(
             self.directory,
             _limit_bounds(self.settings),
             self.active_catalog,
-            lambda: self.neighbours.counted,
-            self.control.send,
+            lambda: self.control_protocols.counted,
+            self.control_channel.send,
             self.clock,
             self._rng,
         )
@@ -183,10 +183,10 @@
             self.store,
             self._rng,
             self.configuration_loader.receive,
-            lambda: self.neighbours.readers.count,
-            lambda: self.neighbours.readers.includes_self,
+            lambda: self.control_protocols.readers.count,
+            lambda: self.control_protocols.readers.includes_self,
         )
-        self.links = links.Links(
+        self.peer_connections = peer_connections.PeerConnections(
             self.directory,
             self.balancer.reachability,
             self._hello,
@@ -199,7 +199,7 @@
             self.boot,
             self.balancer,
             self.beside,
-            self.links,
+            self.peer_connections,
             self.program,
             self.clock,
             self._rng,
@@ -247,22 +247,22 @@
         """
         own = self.settings.process
         try:
-            self.control.open()
+            self.control_channel.open()
             self._servers.append(
-                await wire.listen(own.caller, self.ingress.accept)
+                await tcp_stream.listen(own.caller, self.ingress.accept)
             )
             self._servers.append(await self._listen_peers(own.peer))
-        except (OSError, control.Taken) as error:
+        except (OSError, control_channel.ListenError) as error:
             raise errors.UserError(
                 f"can't listen ({error}); check the addresses in [process]"
             ) from error
         # Port 0 lets the system choose, and others must be told which.
         self.directory.update_own(
-            peer=own.peer_public or wire.bound_address(self._servers[1]),
-            control=own.control_public or self.control.address,
+            peer=own.peer_public or tcp_stream.bound_address(self._servers[1]),
+            control=own.control_public or self.control_channel.address,
         )
         self.spawn(self.follower.run())
-        self.spawn(self.neighbours.meet(self.store))
+        self.spawn(self.control_protocols.meet(self.store))
         self.spawn(self.target_registry.discover_local_target())
         self.ticker.start()
         _log.info(
@@ -270,14 +270,14 @@
             process=own.name,
             boot=self.boot,
             caller=self.caller_address,
-            peer=wire.bound_address(self._servers[1]),
-            control=self.control.address,
+            peer=tcp_stream.bound_address(self._servers[1]),
+            control=self.control_channel.address,
         )
 
     @property
     def caller_address(self) -> str:
         """Where callers are listened for, once that began."""
-        return wire.bound_address(self._servers[0])
+        return tcp_stream.bound_address(self._servers[0])
 
     async def stop(self) -> None:
         """Stops as planned: nothing in flight is cut off."""
@@ -317,10 +317,10 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for served in list(self.served):
             served.close()
-        self.links.close()
+        self.peer_connections.close()
         for site in self.beside.site_by_target.values():
             site.pool.close()
-        await self.control.close()
+        await self.control_channel.close()
         self.store.close()
 
     def reload(self, read: settings.Settings) -> None:
@@ -351,7 +351,7 @@
         if self.stopping or not self.active_catalog.loaded:
             return False
         age = self.clock.monotonic() - self._started_at
-        return self.neighbours.met or age >= READY_WITHOUT_PEERS_AFTER
+        return self.control_protocols.met or age >= READY_WITHOUT_PEERS_AFTER
 
     def spawn(self, work) -> None:
         """Runs a coroutine beside, until the process ends."""
@@ -369,7 +369,7 @@
         """The store came back without some of what it had acknowledged."""
         self.directory.update_own(store_epoch=self.store.epoch or 0)
         self.follower.restart_read()
-        self.neighbours.store_lost.set()
+        self.control_protocols.store_lost.set()
         self.quarantine_store.rewrite_all()
 
     def _taken(self, found: catalog.Catalog, source: str) -> None:
@@ -438,7 +438,7 @@
             running=load.in_flight,
         )
         if changed.closed:
-            self.neighbours.tell_all()
+            self.control_protocols.tell_all()
 
     def _standing(self, standing: messages.LoadUpdate) -> None:
         now = self.clock.monotonic()
@@ -448,10 +448,10 @@
 
     async def _serve_peer(
         self,
-        served: serving.Served,
+        served: peer_server.ServerConnection,
         start: messages.RequestStart,
         body: exchange.Body,
-        answerer: serving.Answerer,
+        answerer: peer_server.ResponseSink,
     ) -> exchange.Result:
         self._observe()
         self.ticker.wake()
@@ -499,14 +499,14 @@
         return self.beside.fence((fence.boot, fence.seq))
 
     async def _listen_peers(self, address: str) -> asyncio.Server:
-        host, port = wire.split_address(address)
+        host, port = tcp_stream.split_address(address)
         loop = asyncio.get_running_loop()
         return await loop.create_server(
             lambda: framing.Frames(self._accept_peer), host, port, backlog=1024
         )
 
     def _accept_peer(self, frames: framing.Frames) -> None:
-        served = serving.Served(
+        served = peer_server.ServerConnection(
             frames,
             self._hello,
             self._key,
@@ -564,7 +564,7 @@
             self.ingress.running
             or self.beside.running
             or self.balancer.reachability.needs_checks
-            or self.neighbours.active(self.clock.monotonic())
+            or self.control_protocols.active(self.clock.monotonic())
         )
 
     def _heard(self, message: messages.Control) -> None:
@@ -572,12 +572,12 @@
             self.rate_limiter.receive(message)
             return
         self.rate_limiter.limiter.mark_alive(message.sender.name)
-        self.neighbours.receive(message)
+        self.control_protocols.receive(message)
         self.configuration_loader.activate_pending()
         sender = message.sender
         if isinstance(sender, messages.ProcessInfo):
             self._compare_era(sender)
-        if self.neighbours.active(self.clock.monotonic()):
+        if self.control_protocols.active(self.clock.monotonic()):
             self.ticker.wake()
 
     def _compare_era(self, peer: messages.ProcessInfo) -> None:
@@ -599,7 +599,7 @@
         now = self.clock.monotonic()
         self.configuration_loader.activate_pending()
         self.beside.tick(now)
-        self.links.tick()
+        self.peer_connections.tick()
         self._look_beside(now)
         if now >= self._next_beat:
             self._next_beat = now + KEEPALIVE_INTERVAL
@@ -609,10 +609,10 @@
             self._next_slow = now + SLOW_TICK_INTERVAL
             self.ingress.tick(now)
             self.target_registry.expire(now)
-            self.neighbours.describe()
+            self.control_protocols.describe()
             self._ask_for_work(now)
             self.quarantine_store.tick()
-        self.neighbours.tick(now)
+        self.control_protocols.tick(now)
         self.rate_limiter.tick(now)
         self.follower.update_role()
 
@@ -630,7 +630,7 @@
                 and load.idle > IDLE_TARGET_TIME
                 and self.active_catalog.loaded
             ):
-                self.neighbours.ask_for_work(site.controller.name, load)
+                self.control_protocols.ask_for_work(site.controller.name, load)
 
     def _look_beside(self, now: float) -> None:
         """Keeps the choice of targets up to date on those beside."""
@@ -653,7 +653,7 @@
         _log.warning("paused", seconds=round(paused, 2))
         for site in self.beside.site_by_target.values():
             site.controller.exclude_pause(paused)
-        self.neighbours.paused()
+        self.control_protocols.paused()
 
 
 def load_policy(read: settings.Settings) -> policy.Policy:
--- a/forklift/shell/pushes.py
+++ b/forklift/shell/push_sockets.py
@@ -30,7 +30,7 @@
         pynng._nng.lib.nng_init_set_parameter(_parameter, _threads)
 
 
-class Pushes:
+class PushSockets:
     """Sends and receives large messages."""
 
     def __init__(self, on_data: Callable[[bytes], None]):
--- a/forklift/shell/request_body.py
+++ b/forklift/shell/request_body.py
@@ -11,7 +11,7 @@
 from forklift.shell import exchange
 from forklift.shell import http
 from forklift.shell import response_writer
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 
 class BodyReader:
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        connection: wire.Connection,
+        connection: tcp_stream.Connection,
         limits: Callable[[], catalogs.CallerLimits],
     ):
         self._connection = connection
--- a/forklift/shell/response_writer.py
+++ b/forklift/shell/response_writer.py
@@ -7,7 +7,7 @@
 
 from forklift.shell import exchange
 from forklift.shell import http
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 # Seconds a caller may go without taking or giving a byte of a body.
 STALL_TIMEOUT = 20.0
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        connection: wire.Connection,
+        connection: tcp_stream.Connection,
         last: Callable[["ResponseWriter"], bool],
         protocol: h11.Connection,
         method: bytes,
@@ -66,7 +66,7 @@
         if self._turn is not None and not self._turn.done():
             await asyncio.shield(self._turn)
         if mine != self._newest:
-            raise wire.Lost("another answer took its place")
+            raise tcp_stream.ConnectionLost("another answer took its place")
 
     async def data(self, piece: bytes) -> None:
         """See `exchange.Sink`."""
@@ -79,7 +79,9 @@
             async with asyncio.timeout(STALL_TIMEOUT):
                 await self._connection.drain()
         except TimeoutError as error:
-            raise wire.Lost("the caller takes no bytes") from error
+            raise tcp_stream.ConnectionLost(
+                "the caller takes no bytes"
+            ) from error
 
     async def end(self) -> None:
         """See `exchange.Sink`."""
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -17,8 +17,8 @@
 from forklift import messages
 from forklift.shell import beside as besides
 from forklift.shell import exchange
-from forklift.shell import links as linking
-from forklift.shell import peers
+from forklift.shell import peer_client
+from forklift.shell import peer_connections
 
 _log = structlog.get_logger(__name__)
 Outcome = messages.Outcome
@@ -42,7 +42,7 @@
         self,
         name: str,
         boot: int,
-        links: linking.Links,
+        links: peer_connections.PeerConnections,
         beside: besides.Beside,
         next_seq: Callable[[], int],
         clock,
@@ -78,7 +78,7 @@
             exclusive: Whether it runs only while nothing else does.
 
         Raises:
-            wire.Lost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink is gone.
             asyncio.CancelledError: The caller gave up.
         """
         try:
@@ -98,7 +98,7 @@
 
     async def _send_over(
         self,
-        link: peers.Link,
+        link: peer_client.ClientConnection,
         request: exchange.Request,
         selection: load_balancer.Selection,
         sink: exchange.Sink,
@@ -138,7 +138,7 @@
 
     async def _ask_once(
         self,
-        link: peers.Link,
+        link: peer_client.ClientConnection,
         start: messages.RequestStart,
         request: exchange.Request,
         sink: exchange.Sink,
@@ -212,7 +212,7 @@
 
 
 def _start(
-    link: peers.Link,
+    link: peer_client.ClientConnection,
     seq: int,
     target: str,
     request: exchange.Request,
--- a/forklift/shell/server.py
+++ b/forklift/shell/server.py
@@ -8,7 +8,7 @@
 import h11
 
 from forklift.shell import http
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 IDLE_TIMEOUT = 60.0
 MAX_BODY_BYTES = 4_500_000
@@ -73,8 +73,8 @@
         Raises:
             OSError: The address is taken.
         """
-        self._server = await wire.listen(address, self._accept)
-        self.address = wire.bound_address(self._server)
+        self._server = await tcp_stream.listen(address, self._accept)
+        self.address = tcp_stream.bound_address(self._server)
 
     def close(self) -> None:
         """Stops listening; open connections go on."""
@@ -88,12 +88,12 @@
         for task in list(self._tasks):
             task.cancel()
 
-    def _accept(self, connection: wire.Connection) -> None:
+    def _accept(self, connection: tcp_stream.Connection) -> None:
         task = asyncio.create_task(self._serve(connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _serve(self, connection: wire.Connection) -> None:
+    async def _serve(self, connection: tcp_stream.Connection) -> None:
         protocol = h11.Connection(h11.SERVER)
         try:
             while await self._serve_one(connection, protocol):
@@ -104,7 +104,7 @@
             connection.close()
 
     async def _serve_one(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> bool:
         event = await _next(connection, protocol)
         if not isinstance(event, h11.Request):
@@ -126,7 +126,7 @@
         return await _answer(connection, protocol, request, response)
 
     async def _body(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> bytes | None:
         body = bytearray()
         while True:
@@ -140,7 +140,7 @@
                 return None
 
     async def _watched(
-        self, connection: wire.Connection, request: Request
+        self, connection: tcp_stream.Connection, request: Request
     ) -> Response | None:
         """A caller that goes away cancels its request."""
         task = asyncio.ensure_future(self._handler(request))
@@ -150,13 +150,13 @@
         except asyncio.CancelledError:
             if connection.closed:
                 self.cancelled_requests += 1
-                raise wire.Lost("the caller hung up") from None
+                raise tcp_stream.ConnectionLost("the caller hung up") from None
             raise
         finally:
             connection.on_lost = None
 
 
-async def _next(connection: wire.Connection, protocol: h11.Connection):
+async def _next(connection: tcp_stream.Connection, protocol: h11.Connection):
     while True:
         event = protocol.next_event()
         if event is not h11.NEED_DATA:
@@ -169,7 +169,7 @@
 
 
 async def _answer(
-    connection: wire.Connection,
+    connection: tcp_stream.Connection,
     protocol: h11.Connection,
     request: Request,
     response: Response,
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -79,7 +79,7 @@
         await asyncio.sleep(POLL_INTERVAL)
     proxy.stop_accepting()
     await _settle(proxy)
-    proxy.neighbours.leave()
+    proxy.control_protocols.leave()
     await asyncio.sleep(POLL_INTERVAL)
     await _flush(proxy)
     # Peers may have asked since.
--- a/forklift/shell/wire.py
+++ b/forklift/shell/tcp_stream.py
@@ -19,7 +19,7 @@
     return host.strip("[]"), int(port)
 
 
-class Lost(ConnectionError):
+class ConnectionLost(ConnectionError):
     """The other side closed the connection, or it broke."""
 
 
@@ -147,22 +147,22 @@
         """Queues bytes.
 
         Raises:
-            Lost: The connection is gone.
+            ConnectionLost: The connection is gone.
         """
         if self._lost or self._shut or self.transport is None:
-            raise Lost("connection lost; open another")
+            raise ConnectionLost("connection lost; open another")
         self.transport.write(data)
 
     async def drain(self) -> None:
         """Waits until the other side takes bytes again.
 
         Raises:
-            Lost: The connection is gone.
+            ConnectionLost: The connection is gone.
         """
         if not self._can_write.is_set():
             await self._can_write.wait()
         if self._lost:
-            raise Lost("connection lost; open another")
+            raise ConnectionLost("connection lost; open another")
 
     def interrupt(self, error: Exception) -> None:
         """Gives an error to whoever waits for bytes, now or later."""
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -148,14 +148,14 @@
             "forklift.control.bytes",
             "Bytes of control messages",
             lambda: [
-                (proxy.control.sent_bytes, {"way": "out"}),
-                (proxy.control.received_bytes, {"way": "in"}),
+                (proxy.control_channel.sent_bytes, {"way": "out"}),
+                (proxy.control_channel.received_bytes, {"way": "in"}),
             ],
         )
         self.add_counter(
             "forklift.control.renewed",
             "Control connections opened anew as something was not answered",
-            lambda: [(proxy.control.renewed, {})],
+            lambda: [(proxy.control_channel.renewed, {})],
         )
         self.add_counter(
             "forklift.logs.dropped",
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -21,7 +21,7 @@
 from forklift.shell import exchange
 from forklift.shell import http
 from forklift.shell import pool as pools
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
@@ -122,7 +122,7 @@
         Raises:
             pools.NotSent: The target did not run it.
             AnswerBroken: It was sent, and there is no whole answer.
-            wire.Lost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink is gone.
         """
         connection = await self._pool.take(self._request.idempotent)
         whole = False
@@ -141,7 +141,7 @@
 
     async def _exchange(
         self,
-        connection: wire.Connection,
+        connection: tcp_stream.Connection,
         load: Callable[[], messages.Load],
         sink: exchange.Sink,
     ) -> None:
@@ -163,10 +163,10 @@
             upload.cancel()
             await asyncio.gather(upload, return_exceptions=True)
 
-    def _write(self, connection: wire.Connection, data: bytes) -> None:
+    def _write(self, connection: tcp_stream.Connection, data: bytes) -> None:
         try:
             connection.write(data)
-        except wire.Lost as error:
+        except tcp_stream.ConnectionLost as error:
             raise AnswerBroken(Reason.TARGET_BROKE, str(error)) from error
 
     def _new_protocol(self) -> h11.Connection:
@@ -204,7 +204,7 @@
         return data + protocol.send(h11.EndOfMessage())
 
     async def _upload(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> None:
         try:
             async for piece in self._request.body.chunks():
@@ -214,7 +214,7 @@
         except (
             exchange.IncompleteBody,
             h11.ProtocolError,
-            wire.Lost,
+            tcp_stream.ConnectionLost,
             TimeoutError,
         ) as error:
             # The target sees a broken request and can't take it as whole.
@@ -225,7 +225,7 @@
 
     async def _answer(
         self,
-        connection: wire.Connection,
+        connection: tcp_stream.Connection,
         protocol: h11.Connection,
         load: Callable[[], messages.Load],
         sink: exchange.Sink,
@@ -245,7 +245,7 @@
         await self._body(connection, reading, passing)
 
     async def _response(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> h11.Response:
         while True:
             event = await self._next_event(connection, protocol)
@@ -256,7 +256,7 @@
             raise AnswerBroken(Reason.TARGET_BROKE, "closed without an answer")
 
     async def _skip(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> h11.Connection:
         """Drops an answer to another request; ours is still to come."""
         self._stray += 1
@@ -282,7 +282,7 @@
 
     async def _body(
         self,
-        connection: wire.Connection,
+        connection: tcp_stream.Connection,
         protocol: h11.Connection,
         passing: "_Passing",
     ) -> None:
@@ -299,7 +299,7 @@
         await passing.end()
 
     async def _next_event(
-        self, connection: wire.Connection, protocol: h11.Connection
+        self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> h11.Event:
         try:
             while True:
--- a/forklift_lab/kept.py
+++ b/forklift_lab/kept.py
@@ -13,7 +13,7 @@
 import socket
 
 from forklift.platform import platform_headers
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 from forklift_lab import scripted
 
 _CHUNK = 65_536
@@ -59,7 +59,7 @@
         self._end = socket.socket()
         self._end.setblocking(False)
         self._end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        place = wire.split_address(self._address)
+        place = tcp_stream.split_address(self._address)
         await asyncio.get_running_loop().sock_connect(self._end, place)
 
     def close(self) -> None:
--- a/forklift_lab/programs.py
+++ b/forklift_lab/programs.py
@@ -16,7 +16,7 @@
 from forklift.platform import platform_headers
 from forklift.shell import client
 from forklift.shell import server
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 from forklift_lab import relay
 from forklift_lab import scripted
 from forklift_lab import store
@@ -221,7 +221,7 @@
             held = self._stack.enter_context(socket.socket())
             # A process may listen on what is bound so, and not listened on.
             held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            held.bind(wire.split_address(_ANY))
+            held.bind(tcp_stream.split_address(_ANY))
             host, port = held.getsockname()
             address_by_listener[listener] = f"{host}:{port}"
         return Place(name, domain, service, **address_by_listener)
--- a/forklift_lab/relay.py
+++ b/forklift_lab/relay.py
@@ -14,7 +14,7 @@
 import struct
 
 from forklift.shell import datagrams as datagram
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 # Ports that are tried until both kinds of bytes have the same one.
 PORTS_TRIED = 16
@@ -57,7 +57,7 @@
             self._server = await asyncio.start_server(
                 self._accept, "127.0.0.1", 0
             )
-            self.address = wire.bound_address(self._server)
+            self.address = tcp_stream.bound_address(self._server)
             try:
                 if self._datagrams is not None:
                     self._datagrams.open(self.address)
@@ -119,7 +119,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         try:
-            host, port = wire.split_address(self.target)
+            host, port = tcp_stream.split_address(self.target)
             far_reader, far_writer = await asyncio.open_connection(host, port)
         except OSError:
             writer.transport.abort()
--- a/forklift_lab/scripted.py
+++ b/forklift_lab/scripted.py
@@ -14,7 +14,7 @@
 
 from forklift import header_fields
 from forklift import heartbeats
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 
 BODY = b"the whole answer"
 _LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
@@ -279,7 +279,7 @@
 
     async def __aenter__(self) -> "ScriptedTarget":
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.address = wire.bound_address(self._server)
+        self.address = tcp_stream.bound_address(self._server)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -315,7 +315,7 @@
     async def revive(self) -> None:
         """Starts again at its address after a crash: it knows nothing."""
         self.born += RESTART_MS
-        host, port = wire.split_address(self.address)
+        host, port = tcp_stream.split_address(self.address)
         self._server = await asyncio.start_server(self._serve, host, port)
 
     def _fault(self, received: Received) -> str:
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -17,7 +17,7 @@
 from forklift import policy
 from forklift import quarantine
 from forklift import routing
-from forklift.shell import neighbours
+from forklift.shell import control_protocols
 from forklift.shell import ticker
 from test import helper
 
@@ -39,7 +39,7 @@
         self.active_catalog = catalog.ActiveCatalog()
         self.quarantine = quarantine.Quarantine()
         rng = random.Random(boot)
-        self.neighbours = neighbours.Neighbours(
+        self.control_protocols = control_protocols.ControlProtocols(
             helper.info(
                 name,
                 boot=boot,
@@ -62,7 +62,7 @@
             lambda target: None,
             self.quarantine,
         )
-        self.directory = self.neighbours.directory
+        self.directory = self.control_protocols.directory
         # When it ticks next, and the number of that tick: an earlier one that
         # was put off is none any more.
         self.tick_at = 0.0
@@ -145,7 +145,7 @@
         """The store takes a version and tells those that wait for one."""
         self.acknowledged[version] = self.clock.now
         for node in self.node_by_name.values():
-            if not node.deaf and node.neighbours.readers.includes_self:
+            if not node.deaf and node.control_protocols.readers.includes_self:
                 self._at(
                     self.rng.uniform(0.004, 0.02),
                     lambda node=node: node.take(str(version).encode()),
@@ -203,14 +203,14 @@
         current = self.node_by_name.get(node.name) is node
         if not current or node.tick_number != number:
             return
-        busy = node.neighbours.active(self.clock.now)
+        busy = node.control_protocols.active(self.clock.now)
         pause = TICK if busy else ticker.IDLE_INTERVAL
         self._tick_at(node, self.clock.now + pause)
-        node.neighbours.tick(self.clock.now)
+        node.control_protocols.tick(self.clock.now)
 
     def _deliver(self, receiver: str, message: object) -> None:
         node = self.node_by_name.get(receiver)
         if node is not None and receiver not in self.cut:
-            node.neighbours.receive(message)
-            if node.neighbours.active(self.clock.now):
+            node.control_protocols.receive(message)
+            if node.control_protocols.active(self.clock.now):
                 self.tick_in(node, TICK)
--- a/test/test_control.py
+++ b/test/test_control_channel.py
@@ -8,11 +8,11 @@
 import pytest
 
 from forklift import messages
-from forklift.shell import control
+from forklift.shell import authentication
+from forklift.shell import control_channel
 from forklift.shell import datagrams
-from forklift.shell import pushes
-from forklift.shell import sealing
-from forklift.shell import wire
+from forklift.shell import push_sockets
+from forklift.shell import tcp_stream
 from test import helper
 
 
@@ -27,20 +27,20 @@
 )
 def test_what_does_not_expand_as_it_should_is_refused(data):
     with pytest.raises(messages.MalformedMessage):
-        control._unpack(data)
+        control_channel._unpack(data)
 
 
 def test_a_message_goes_over_a_new_connection_where_that_is_asked_for(
     monkeypatch,
 ):
     """One that fell silent takes messages for minutes and loses them."""
-    monkeypatch.setattr(pushes, "RENEW_AFTER", 0.0)
+    monkeypatch.setattr(push_sockets, "RENEW_AFTER", 0.0)
 
     async def work():
         taken = []
-        listening = await wire.listen("127.0.0.1:0", taken.append)
-        address = wire.bound_address(listening)
-        one = pushes.Pushes(print)
+        listening = await tcp_stream.listen("127.0.0.1:0", taken.append)
+        address = tcp_stream.bound_address(listening)
+        one = push_sockets.PushSockets(print)
         for _ in range(3):
             assert one.send(address, b"x", False)
             await helper.until(lambda: taken)
@@ -61,9 +61,9 @@
 
     async def work():
         taken = []
-        other = pushes.Pushes(taken.append)
+        other = push_sockets.PushSockets(taken.append)
         address = other.open("127.0.0.1:0")
-        one = pushes.Pushes(print)
+        one = push_sockets.PushSockets(print)
         for data in (b"1", b"2"):
             assert one.send(address, data, True)
         assert one.send(address, b"3", False)
@@ -79,8 +79,12 @@
 async def pair(key: bytes = b""):
     """A sender, a receiver, and what the receiver took."""
     taken: list[messages.Control] = []
-    one = control.Control("127.0.0.1:0", 1, key, lambda: 0.0, print)
-    other = control.Control("127.0.0.1:0", 2, key, lambda: 0.0, taken.append)
+    one = control_channel.ControlChannel(
+        "127.0.0.1:0", 1, key, lambda: 0.0, print
+    )
+    other = control_channel.ControlChannel(
+        "127.0.0.1:0", 2, key, lambda: 0.0, taken.append
+    )
     one.open()
     other.open()
     try:
@@ -117,7 +121,7 @@
             for _ in range(5):
                 one.send(other.address, SMALL)
             await helper.until(lambda: len(taken) == 5)
-            assert not one._pushes._socket_by_address
+            assert not one._push_sockets._socket_by_address
 
     helper.run(work())
 
@@ -147,50 +151,52 @@
     monkeypatch.setattr(datagrams.Datagrams, "open", open_)
 
     async def work():
-        one = control.Control("127.0.0.1:0", 1, b"", lambda: 0.0, print)
+        one = control_channel.ControlChannel(
+            "127.0.0.1:0", 1, b"", lambda: 0.0, print
+        )
         one.open()
         assert one.address not in taken_ports
         # It listens at the last one only.
         for address in taken_ports:
             with pytest.raises(OSError):
-                await wire.connect(address)
+                await tcp_stream.connect(address)
         await one.close()
 
     helper.run(work())
 
 
 def test_a_code_covers_the_address_that_others_send_to():
-    seal = sealing.Seal(1, b"k", lambda: 0.0)
-    sealed = seal.seal("127.0.0.1:9", b"data")
-    receiver = sealing.Seal(2, b"k", lambda: 0.0)
+    seal = authentication.MessageAuthenticator(1, b"k", lambda: 0.0)
+    sealed = seal.sign("127.0.0.1:9", b"data")
+    receiver = authentication.MessageAuthenticator(2, b"k", lambda: 0.0)
     with pytest.raises(messages.MalformedMessage):
-        receiver.unseal("127.0.0.1:8", sealed)
-    assert receiver.unseal("127.0.0.1:9", sealed) == b"data"
+        receiver.verify("127.0.0.1:8", sealed)
+    assert receiver.verify("127.0.0.1:9", sealed) == b"data"
     with pytest.raises(messages.MalformedMessage):
-        receiver.unseal("127.0.0.1:9", sealed)
+        receiver.verify("127.0.0.1:9", sealed)
 
 
 def test_messages_that_overtake_each_other_are_taken_once_each():
-    seal = sealing.Seal(1, b"k", lambda: 0.0)
-    sent = [seal.seal("a", b"%d" % number) for number in range(50)]
-    receiver = sealing.Seal(2, b"k", lambda: 0.0)
+    seal = authentication.MessageAuthenticator(1, b"k", lambda: 0.0)
+    sent = [seal.sign("a", b"%d" % number) for number in range(50)]
+    receiver = authentication.MessageAuthenticator(2, b"k", lambda: 0.0)
     order = random.Random(3).sample(sent, len(sent))
-    assert len({receiver.unseal("a", one) for one in order}) == 50
+    assert len({receiver.verify("a", one) for one in order}) == 50
     for one in sent:
         with pytest.raises(messages.MalformedMessage):
-            receiver.unseal("a", one)
+            receiver.verify("a", one)
 
 
 def test_a_message_from_far_behind_or_another_time_is_refused():
     now = [0.0]
-    seal = sealing.Seal(1, b"k", lambda: now[0])
-    old = seal.seal("a", b"old")
-    receiver = sealing.Seal(2, b"k", lambda: 0.0)
-    for _ in range(sealing.WINDOW):
-        newest = seal.seal("a", b"new")
-    receiver.unseal("a", newest)
+    seal = authentication.MessageAuthenticator(1, b"k", lambda: now[0])
+    old = seal.sign("a", b"old")
+    receiver = authentication.MessageAuthenticator(2, b"k", lambda: 0.0)
+    for _ in range(authentication.WINDOW):
+        newest = seal.sign("a", b"new")
+    receiver.verify("a", newest)
     with pytest.raises(messages.MalformedMessage):
-        receiver.unseal("a", old)
-    now[0] = sealing.MAX_AGE + 1.0
+        receiver.verify("a", old)
+    now[0] = authentication.MAX_AGE + 1.0
     with pytest.raises(messages.MalformedMessage):
-        receiver.unseal("a", seal.seal("a", b"of another time"))
+        receiver.verify("a", seal.sign("a", b"of another time"))
--- a/test/test_neighbours.py
+++ b/test/test_control_protocols.py
@@ -12,7 +12,7 @@
 from forklift import messages
 from forklift import policy
 from forklift import routing
-from forklift.shell import neighbours
+from forklift.shell import control_protocols
 from test import fleet
 from test import helper
 
@@ -26,7 +26,7 @@
         self.sent: list[messages.Control] = []
         rng = random.Random(1)
         bounds = load_balancer.RetryBudgetLimits()
-        self.neighbours = neighbours.Neighbours(
+        self.control_protocols = control_protocols.ControlProtocols(
             helper.info("own"),
             rng,
             self.clock,
@@ -51,7 +51,7 @@
         """A peer with a version pings; the versions that it is told of."""
         self.sent.clear()
         peer = helper.info("peer", config=config)
-        self.neighbours.receive(messages.Ping(peer, 1, 0.0, 0, ()))
+        self.control_protocols.receive(messages.Ping(peer, 1, 0.0, 0, ()))
         return [
             message.version
             for message in self.sent
@@ -62,7 +62,7 @@
         """A peer with a version asks for a newer; the versions it is given."""
         self.sent.clear()
         peer = messages.Sender("peer", "peer")
-        self.neighbours.receive(messages.CatalogRequest(peer, 1, config))
+        self.control_protocols.receive(messages.CatalogRequest(peer, 1, config))
         return [
             message.version
             for message in self.sent
@@ -73,7 +73,7 @@
 def test_a_peer_that_is_behind_is_handed_the_version_in_force():
     rig = Rig()
     rig.publish(2)
-    rig.neighbours.tick(rig.clock.monotonic())
+    rig.control_protocols.tick(rig.clock.monotonic())
     assert rig.hear(config=1) == []
     rig.clock.now += dissemination.PEER_FALLBACK_DELAY
     assert rig.hear(config=2) == []
@@ -97,7 +97,7 @@
     for version in range(2, 12):
         rig.clock.now += dissemination.PEER_FALLBACK_DELAY / 2
         rig.publish(version)
-        rig.neighbours.tick(rig.clock.monotonic())
+        rig.control_protocols.tick(rig.clock.monotonic())
         told += rig.hear(config=1)
     assert told
 
@@ -129,7 +129,7 @@
     offer = messages.CatalogOffer(
         messages.Sender("p1", "p1"), 2, zlib.compress(b"2"), 1.5
     )
-    found.node_by_name["p0"].neighbours.receive(offer)
+    found.node_by_name["p0"].control_protocols.receive(offer)
     versions = [one for one in told if isinstance(one, messages.CatalogVersion)]
     assert [(one.version, one.age) for one in versions if one.confirm]
     assert {(one.version, one.age) for one in versions} == {(2, 1.5)}
--- a/test/test_fuzz.py
+++ b/test/test_fuzz.py
@@ -16,7 +16,7 @@
 from forklift.platform import store
 from forklift.shell import http
 from forklift.shell import server
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 from test import helper
 from test import processes
 from test import test_ui
@@ -153,7 +153,7 @@
         data = bytearray(requests * rng.choice((1, 2)))
         for _ in range(rng.randrange(1, 6)):
             data[rng.randrange(len(data))] = rng.randrange(256)
-        connection = await wire.connect(address)
+        connection = await tcp_stream.connect(address)
         connection.write(bytes(data[: rng.randrange(1, len(data))]))
         connection.transport.write_eof()
         while await connection.read():
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -14,7 +14,7 @@
 from forklift.shell import proxy
 from forklift.shell import request_body
 from forklift.shell import response_writer
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 from test import helper
 from test import processes
 
@@ -50,8 +50,12 @@
         )
 
     async def __aenter__(self) -> "Rig":
-        self._server = await wire.listen("127.0.0.1:0", self.ingress.accept)
-        host, port = wire.split_address(wire.bound_address(self._server))
+        self._server = await tcp_stream.listen(
+            "127.0.0.1:0", self.ingress.accept
+        )
+        host, port = tcp_stream.split_address(
+            tcp_stream.bound_address(self._server)
+        )
         self.reader, self.writer = await asyncio.open_connection(host, port)
         return self
 
@@ -457,7 +461,7 @@
         await asyncio.sleep(0)
         turn.set_result(None)
         first, second = await asyncio.gather(*given, return_exceptions=True)
-        assert isinstance(first, wire.Lost)
+        assert isinstance(first, tcp_stream.ConnectionLost)
         assert second is None
         assert taking.written.startswith(b"HTTP/1.1 502")
 
@@ -466,7 +470,7 @@
 
 def test_a_connection_that_was_closed_reads_nothing_more():
     async def work():
-        connection = wire.Connection()
+        connection = tcp_stream.Connection()
         connection.connection_made(Taking())
         connection.data_received(b"before")
         connection.close()
@@ -558,7 +562,7 @@
 
 async def post(one: proxy.Proxy, body: bytes, cut: int) -> None:
     """Sends a request whose body comes in two pieces."""
-    address = wire.split_address(one.caller_address)
+    address = tcp_stream.split_address(one.caller_address)
     reader, writer = await asyncio.open_connection(*address)
     head = b"POST /a/ HTTP/1.1\r\nhost: h\r\nconnection: close\r\n"
     writer.write(head + b"content-length: %d\r\n\r\n" % len(body) + body[:cut])
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -208,13 +208,13 @@
     async def work(fleet):
         first = fleet.proxies[0]
         for one in fleet.proxies:
-            send = one.control.send
+            send = one.control_channel.send
 
             def note(address, message, renew=False, send=send):
                 left.append(msgspec.msgpack.encode(message))
                 return send(address, message, renew)
 
-            one.neighbours._send_to = note
+            one.control_protocols._send_to = note
         with structlog.testing.capture_logs() as logs:
             for key in KEYS:
                 for path in ("/a/", "/once/", "/open/", "/none/"):
--- a/test/test_peers.py
+++ b/test/test_peer_client.py
@@ -4,7 +4,7 @@
 
 from forklift import messages
 from forklift.shell import framing
-from forklift.shell import peers
+from forklift.shell import peer_client
 from test import helper
 
 
@@ -31,7 +31,7 @@
     async def work():
         frames = framing.Frames()
         frames.connection_made(Transport())
-        link = peers.Link(frames, hello(asks), b"key")
+        link = peer_client.ClientConnection(frames, hello(asks), b"key")
         link.open()
         assert not frames.compress
         frames.on_frame(hello(agrees))
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -288,7 +288,7 @@
         fleet.proxies.append(new)
         await new.start()
         # News is taken over, and still nobody else is known.
-        new.neighbours.tick(new.clock.monotonic())
+        new.control_protocols.tick(new.clock.monotonic())
         assert new.balancer.process_count == 0
         fleet.store.away = False
         await helper.until(lambda: new.balancer.process_count == 4)
@@ -348,7 +348,7 @@
 
 def test_an_earlier_run_of_a_guard_is_never_said_not_to_have_run():
     async def work(fleet):
-        link = await fleet.proxies[0].links.get("p1")
+        link = await fleet.proxies[0].peer_connections.get("p1")
         boot = fleet.proxies[1].boot
         assert await link.fence(1, 1, boot)
         assert not await link.fence(1, 2, boot + 1)
@@ -463,10 +463,10 @@
 
 def test_only_paths_between_failure_domains_are_compressed():
     async def work(fleet):
-        near = await fleet.proxies[0].links.get("p1")
+        near = await fleet.proxies[0].peer_connections.get("p1")
         assert not near._frames.compress
         fleet.proxies[0].directory.update_own(domain="other")
-        far = await fleet.proxies[0].links.get("p2")
+        far = await fleet.proxies[0].peer_connections.get("p2")
         assert far._frames.compress
         (served,) = fleet.proxies[2].served
         assert served._frames.compress
@@ -558,8 +558,8 @@
     async def work(fleet):
         entry = fleet.proxies[0]
         entry.beside.drain("t0")
-        link = await entry.links.get("p1")
-        await entry.links.get("p2")
+        link = await entry.peer_connections.get("p1")
+        await entry.peer_connections.get("p2")
         # One way is cut: what is sent to p1 is lost, and nothing says so.
         link._frames.send = lambda frame: None
         fleet.proxies[2].beside.drain("t2")
@@ -597,7 +597,7 @@
 def test_a_guard_that_was_paused_refuses_what_is_older():
     async def work(fleet):
         fleet.proxies[0].beside.drain("t0")
-        await fleet.proxies[0].links.get("p1")
+        await fleet.proxies[0].peer_connections.get("p1")
         fleet.proxies[1].incarnation += 1
         seen = []
         served = fleet.proxies[1].beside.run
@@ -730,7 +730,7 @@
         new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         fleet.proxies.insert(0, new)
         await new.start()
-        await helper.until(lambda: new.neighbours.met)
+        await helper.until(lambda: new.control_protocols.met)
         fleet.announce(new, 0, sequence=2)
         await helper.until(lambda: len(picked(other)) == 2)
         assert not new.target_registry._incarnations._ended
@@ -822,7 +822,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         asked = []
-        one.neighbours.ask_for_work = lambda *said: asked.append(said)
+        one.control_protocols.ask_for_work = lambda *said: asked.append(said)
         one._ask_for_work(one.clock.monotonic())
         assert [name for name, _ in asked] == ["t0"]
         asked.clear()
@@ -898,7 +898,7 @@
     async def work(fleet):
         entry = fleet.proxies[0]
         entry.beside.drain("t0")
-        get = entry.links.get
+        get = entry.peer_connections.get
         lost = []
 
         async def lose_the_first(process):
@@ -907,11 +907,11 @@
                 lost.append(process)
                 link.close()
                 if known:
-                    links = entry.links.link_by_process
+                    links = entry.peer_connections.connection_by_process
                     await helper.until(lambda: links.get(process) is not link)
             return link
 
-        entry.links.get = lose_the_first
+        entry.peer_connections.get = lose_the_first
         answer = await fleet.ask(0)
         assert lost
         assert answer.status == 200
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -242,7 +242,9 @@
         one = fleet.proxies[0]
         before, real = one.incarnation, time.clock_gettime
         asked = []
-        monkeypatch.setattr(one.neighbours, "paused", lambda: asked.append(1))
+        monkeypatch.setattr(
+            one.control_protocols, "paused", lambda: asked.append(1)
+        )
 
         def later(which: int) -> float:
             gone = 5.0 if which == time.CLOCK_BOOTTIME else 0.0
@@ -361,7 +363,7 @@
     async def work(fleet):
         one, other = fleet.proxies
         quarantine_locally(other)
-        one.neighbours.paused()
+        one.control_protocols.paused()
         await helper.until(
             lambda: one.quarantine.quarantined(one.clock.monotonic())
         )
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -9,11 +9,11 @@
 
 from forklift import messages
 from forklift.shell import exchange
+from forklift.shell import peer_server
 from forklift.shell import proxy
-from forklift.shell import served as serving
 from forklift.shell import shutdown
 from forklift.shell import store_follower
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 from forklift_lab import scripted
 from test import helper
 from test import processes
@@ -169,7 +169,7 @@
         self._one = one
 
     async def __aenter__(self) -> "Caller":
-        host, port = wire.split_address(self._one.caller_address)
+        host, port = tcp_stream.split_address(self._one.caller_address)
         self.reader, self.writer = await asyncio.open_connection(host, port)
         await helper.until(lambda: self._one.ingress.connections)
         (self.session,) = self._one.ingress._sessions
@@ -362,7 +362,7 @@
         one = fleet.proxies[0]
 
         async def ask_on(lost: list[int]) -> None:
-            host, port = wire.split_address(one.caller_address)
+            host, port = tcp_stream.split_address(one.caller_address)
             reader, writer = await asyncio.open_connection(host, port)
             open_ = True
             while open_:
@@ -392,20 +392,20 @@
 def test_what_was_written_for_peers_reaches_them_before_the_end(monkeypatch):
     """An answer that the system has not taken would be lost with the link."""
     looks = []
-    unsent = serving.Served.unsent
+    unsent = peer_server.ServerConnection.unsent
 
     def look(served) -> int:
         looks.append(served)
         return unsent.fget(served)
 
-    monkeypatch.setattr(serving.Served, "unsent", property(look))
+    monkeypatch.setattr(peer_server.ServerConnection, "unsent", property(look))
     # The peer takes it in its own time; the bound is for silent ones.
     monkeypatch.setattr(shutdown, "FINAL_RESPONSE_TIME", 3.0)
 
     async def work(fleet):
         entry, one = fleet.proxies
         taken = []
-        link = await entry.links.get("p1")
+        link = await entry.peer_connections.get("p1")
         link.on_standing = taken.append
         link._frames.transport.pause_reading()
         (served,) = one.served
@@ -476,7 +476,7 @@
     async def work(fleet):
         entry, one = fleet.proxies
         taken = []
-        link = await entry.links.get("p1")
+        link = await entry.peer_connections.get("p1")
         link.on_standing = taken.append
         (served,) = one.served
         news = messages.LoadUpdate(
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -9,7 +9,7 @@
 from forklift import heartbeats
 from forklift.platform import platform_headers
 from forklift.shell import client
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 from forklift_lab import kept
 from forklift_lab import play
 from forklift_lab import relay
@@ -315,7 +315,7 @@
 async def ended(serve) -> kept.Ended:
     """How one request of a kept caller ends, with this side of a process."""
     listening = await asyncio.start_server(serve, "127.0.0.1", 0)
-    asker = kept.Kept(wire.bound_address(listening))
+    asker = kept.Kept(tcp_stream.bound_address(listening))
     await asker.open()
     try:
         with pytest.raises(kept.Ended) as found:
@@ -394,7 +394,7 @@
             gone.set()
 
         listening = await asyncio.start_server(serve, "127.0.0.1", 0)
-        asker = kept.Kept(wire.bound_address(listening))
+        asker = kept.Kept(tcp_stream.bound_address(listening))
         await asker.open()
         await gone.wait()
         with pytest.raises(kept.Ended) as found:
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -11,7 +11,7 @@
 from forklift.platform import store as adapter
 from forklift.shell import server
 from forklift.shell import store_follower
-from forklift.shell import wire
+from forklift.shell import tcp_stream
 from forklift_lab import store as standin
 from test import helper
 
@@ -256,8 +256,8 @@
             fixture.server._accept(connection)
 
         async with StoreFixture() as fixture:
-            listening = await wire.listen("127.0.0.1:0", accept)
-            store = adapter.Store(wire.bound_address(listening))
+            listening = await tcp_stream.listen("127.0.0.1:0", accept)
+            store = adapter.Store(tcp_stream.bound_address(listening))
             # Two concurrent calls open two connections.
             await asyncio.gather(
                 store.configuration(), store.announce("a", b"x")
--- a/test/test_store_readers.py
+++ b/test/test_store_readers.py
@@ -102,7 +102,7 @@
     found = settled(1)
     nodes = found.node_by_name.values()
     assert (
-        sum(one.neighbours.readers.includes_self for one in nodes)
+        sum(one.control_protocols.readers.includes_self for one in nodes)
         < PROCESSES / 3
     )
 
@@ -134,7 +134,7 @@
     reading = [
         name
         for name, node in found.node_by_name.items()
-        if node.neighbours.readers.includes_self
+        if node.control_protocols.readers.includes_self
     ]
     for name in found.rng.sample(reading, len(reading) * 3 // 4):
         del found.node_by_name[name]
