--- a/forklift/interfaces.py
+++ b/forklift/interfaces.py
@@ -100,12 +100,15 @@
     """Sends one-way control messages to other processes."""
 
     def send(
-        self, address: str, message: messages.Control, renew: bool = False
+        self,
+        address: str,
+        message: messages.Control,
+        new_connection: bool = False,
     ) -> bool:
         """Hands a message to the network; False when it was dropped.
 
         Args:
             address: Control address of the receiver.
             message: The message.
-            renew: Whether it goes over a new connection.
+            new_connection: Whether it goes over a new connection.
         """
--- a/forklift/shell/authentication.py
+++ b/forklift/shell/authentication.py
@@ -17,16 +17,16 @@
 MAX_AGE = 10.0
 # Counters below the highest that are told apart; older ones are refused. A
 # message that overtakes another does so by a few.
-WINDOW = 256
+REPLAY_WINDOW = 256
 # Boots that are remembered; an older message is refused by its time alone.
 MAX_BOOTS = 1024
 
 
-class _Seen:
+class _ReplayWindow:
     """Counters of one boot that were seen.
 
-    >>> seen = _Seen()
-    >>> [seen.take(number) for number in (5, 3, 5, 4, 3, 400, 6)]
+    >>> seen = _ReplayWindow()
+    >>> [seen.accept(number) for number in (5, 3, 5, 4, 3, 400, 6)]
     [True, True, False, True, False, True, False]
     """
 
@@ -36,15 +36,15 @@
         # One bit for each counter from the highest down.
         self._bits = 0
 
-    def take(self, counter: int) -> bool:
+    def accept(self, counter: int) -> bool:
         """Whether a counter is new."""
         if counter > self._highest:
-            self._bits <<= min(WINDOW, counter - self._highest)
-            self._bits = (self._bits | 1) & ((1 << WINDOW) - 1)
+            self._bits <<= min(REPLAY_WINDOW, counter - self._highest)
+            self._bits = (self._bits | 1) & ((1 << REPLAY_WINDOW) - 1)
             self._highest = counter
             return True
         bit = 1 << (self._highest - counter)
-        if self._highest - counter >= WINDOW or self._bits & bit:
+        if self._highest - counter >= REPLAY_WINDOW or self._bits & bit:
             return False
         self._bits |= bit
         return True
@@ -58,7 +58,7 @@
         self._key = key
         self._wall = wall
         self._counter = 0
-        self._seen_by_boot: dict[int, _Seen] = {}
+        self._seen_by_boot: dict[int, _ReplayWindow] = {}
 
     def sign(self, receiver: str, data: bytes) -> bytes:
         """A message with its code, for one address."""
@@ -89,9 +89,9 @@
         now = self._wall()
         if abs(now - sent) > MAX_AGE:
             raise messages.MalformedMessage("its time is too far from ours")
-        seen = self._seen_by_boot.setdefault(boot, _Seen())
+        seen = self._seen_by_boot.setdefault(boot, _ReplayWindow())
         seen.at = now
-        if not seen.take(counter):
+        if not seen.accept(counter):
             raise messages.MalformedMessage("played again")
         if len(self._seen_by_boot) > MAX_BOOTS:
             self._seen_by_boot = {
--- a/forklift/shell/control_channel.py
+++ b/forklift/shell/control_channel.py
@@ -22,11 +22,11 @@
 
 # Larger messages are compressed, bytes: news of several processes shrinks to a
 # third, a single description hardly.
-COMPRESS_FROM = 256
+MIN_COMPRESS_BYTES = 256
 # The first byte of what zlib makes; no message of ours begins with it.
 _ZLIB = 0x78
 # Ports that are tried where the system chooses: both kinds share a number.
-PORTS_TRIED = 16
+MAX_PORT_ATTEMPTS = 16
 
 
 class ControlChannel:
@@ -50,14 +50,14 @@
             else None
         )
         self._on_message = on_message
-        self._datagrams = datagrams.Datagrams(self._take)
+        self._datagrams = datagrams.DatagramSocket(self._take)
         self._push_sockets = push_sockets.PushSockets(self._take)
         self.sent = 0
         self.sent_bytes = 0
         self.dropped = 0
         self.received = 0
         self.received_bytes = 0
-        self.refused = 0
+        self.rejected = 0
 
     def open(self) -> None:
         """Listens; port 0 lets the system choose one.
@@ -65,7 +65,7 @@
         Raises:
             pynng.AddressInUse, OSError: The address is taken.
         """
-        for left in reversed(range(PORTS_TRIED)):
+        for left in reversed(range(MAX_PORT_ATTEMPTS)):
             found = self._push_sockets.open(self._address)
             try:
                 self._datagrams.open(found)
@@ -73,7 +73,7 @@
                 chosen = found != self._address
                 if error.errno != errno.EADDRINUSE or not (chosen and left):
                     raise
-                self._push_sockets.leave()
+                self._push_sockets.stop_listening()
                 continue
             self._address = found
             return
@@ -84,9 +84,9 @@
         return self._address
 
     @property
-    def renewed(self) -> int:
+    def reconnects(self) -> int:
         """Connections that were opened anew as one fell silent."""
-        return self._push_sockets.renewed
+        return self._push_sockets.reconnects
 
     async def close(self) -> None:
         """Closes all sockets."""
@@ -94,16 +94,19 @@
         await self._push_sockets.close()
 
     def send(
-        self, address: str, message: messages.Control, renew: bool = False
+        self,
+        address: str,
+        message: messages.Control,
+        new_connection: bool = False,
     ) -> bool:
         """See `interfaces.Transport`."""
         data = _pack(messages.encode(message))
         if self._seal is not None:
             data = self._seal.sign(address, data)
-        if len(data) <= datagrams.MOST:
+        if len(data) <= datagrams.MAX_DATAGRAM_BYTES:
             taken = self._datagrams.send(address, data)
         else:
-            taken = self._push_sockets.send(address, data, renew)
+            taken = self._push_sockets.send(address, data, new_connection)
         if not taken:
             self.dropped += 1
             return False
@@ -119,7 +122,7 @@
                 data = self._seal.verify(self._public or self._address, data)
             message = messages.decode_control(_unpack(data))
         except messages.MalformedMessage as error:
-            self.refused += 1
+            self.rejected += 1
             _log.warning("control_refused", detail=str(error))
             return
         try:
@@ -134,7 +137,7 @@
     >>> len(_pack(b"x" * 1000)) < 100
     True
     """
-    return zlib.compress(data) if len(data) >= COMPRESS_FROM else data
+    return zlib.compress(data) if len(data) >= MIN_COMPRESS_BYTES else data
 
 
 def _unpack(data: bytes) -> bytes:
--- a/forklift/shell/control_protocols.py
+++ b/forklift/shell/control_protocols.py
@@ -28,9 +28,9 @@
 State = messages.TargetState
 
 # Processes that a new one asks for all they know.
-JOIN_THROUGH = 3
+JOIN_PEERS = 3
 # Entries that are asked for work at a time: one may have no callers, either.
-ASKED_FOR_WORK = 2
+IDLE_ANNOUNCEMENT_FANOUT = 2
 
 
 class ControlProtocols:
@@ -45,10 +45,12 @@
         balancer: load_balancer.LoadBalancer,
         beside: besides.Beside,
         send: Callable[[str, messages.Control, bool], object],
-        on_record: Callable[[bytes, str], None],
-        on_gone: Callable[[str], None],
+        on_record_received: Callable[[bytes, str], None],
+        on_target_gone: Callable[[str], None],
         quarantine: quarantines.Quarantine | None = None,
-        on_kept: Callable[[str, bytes], None] = lambda name, data: None,
+        on_stored_evidence: Callable[[str, bytes], None] = lambda name, data: (
+            None
+        ),
     ):
         self.directory = membership.Directory(
             own, membership.FULL_MEMBERSHIP_LIMIT
@@ -62,37 +64,37 @@
         self.dissemination = dissemination.Dissemination(
             self.directory, active_catalog, self.readers
         )
-        self.met = False
+        self.has_joined = False
         # Set where the store lost what this process had written.
-        self.store_lost = asyncio.Event()
+        self.store_data_lost = asyncio.Event()
         # The newest version that any process said of itself to have.
-        self.newest_heard: int | None = None
+        self.newest_announced_version: int | None = None
         # Whether the number of processes is known: one that was only spoken to
         # by another knows two of many.
-        self._counted = False
+        self._size_known = False
         self._rng = rng
         self._clock = clock
         self._active_catalog = active_catalog
         self._balancer = balancer
         self._beside = beside
         self._send_to = send
-        self._on_record = on_record
-        self._on_gone = on_gone
-        self._on_kept = on_kept
+        self._on_record_received = on_record_received
+        self._on_target_gone = on_target_gone
+        self._on_stored_evidence = on_stored_evidence
         # Targets that an earlier run of a process had let go.
         self._leaving_by_process: dict[str, tuple[str, ...]] = {}
 
     @property
-    def counted(self) -> bool:
+    def size_known(self) -> bool:
         """Whether the number of processes is known."""
-        return self._counted
+        return self._size_known
 
     @property
-    def alone(self) -> bool:
+    def is_alone(self) -> bool:
         """Whether it is known that there is no other process."""
-        return self._counted and not self.directory.member_by_name
+        return self._size_known and not self.directory.member_by_name
 
-    async def meet(self, store: interfaces.Registry) -> None:
+    async def join(self, store: interfaces.Registry) -> None:
         """Makes this process known and finds others, by the store."""
         own = self.directory.own
         data = messages.encode(messages.announcement_of(own))
@@ -102,7 +104,7 @@
             own.name,
             data,
             self._members,
-            self.store_lost,
+            self.store_data_lost,
             lambda: len(self.directory.member_by_name) + 1,
         )
 
@@ -113,7 +115,7 @@
         self._send(self.quarantine_sync.tick(now))
         self._learn()
 
-    def active(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Whether there is something to tell that does not wait."""
         return (
             self.gossip.has_pending_rumors
@@ -121,13 +123,13 @@
             or self.dissemination.is_active(now)
         )
 
-    def paused(self) -> None:
+    def handle_pause(self) -> None:
         """This process stood still, and may have missed what others told."""
         self._send(
             self.quarantine_sync.request_evidence(self._clock.monotonic())
         )
 
-    def ask_for_work(self, target: str, load: messages.Load) -> None:
+    def announce_idle_target(self, target: str, load: messages.Load) -> None:
         """Has some entries of this failure domain send work to a target."""
         near = [
             member.info.control
@@ -136,7 +138,7 @@
             and member.info.domain == self.directory.own.domain
         ]
         sender = messages.sender_of(self.directory.own)
-        asked = self._rng.sample(near, min(ASKED_FOR_WORK, len(near)))
+        asked = self._rng.sample(near, min(IDLE_ANNOUNCEMENT_FANOUT, len(near)))
         for address in asked:
             message = messages.IdleTarget(sender, target, load)
             self._send([gossip.Send(address, message)])
@@ -150,14 +152,14 @@
 
         A few of them are asked for all they know; gossip brings the rest.
         """
-        self.met = True
-        self._counted = True
+        self.has_joined = True
+        self._size_known = True
         now = self._clock.monotonic()
         for name, data in data_by_name.items():
             if name == self.directory.own.name:
                 continue
             if name.startswith(quarantine_store.RECORD_PREFIX):
-                self._on_kept(name, data)
+                self._on_stored_evidence(name, data)
                 continue
             try:
                 record = messages.decode_announcement(name, data)
@@ -170,7 +172,7 @@
             rumor = messages.Rumor(messages.Liveness.ALIVE, record.info)
             self.directory.apply(rumor, now)
         names = self.directory.alive()
-        for name in self._rng.sample(names, min(JOIN_THROUGH, len(names))):
+        for name in self._rng.sample(names, min(JOIN_PEERS, len(names))):
             info = self.directory.member_by_name[name].info
             join = self.gossip.join(info.control)
             self._send([join])
@@ -197,7 +199,7 @@
             return
         if isinstance(message, messages.LeavingTargets):
             for name in message.names:
-                self._on_gone(name)
+                self._on_target_gone(name)
             return
         if isinstance(message.sender, messages.ProcessInfo):
             self._remind(message.sender)
@@ -209,11 +211,13 @@
                 )
             )
         if isinstance(message, messages.SyncReply):
-            self._counted = True
+            self._size_known = True
         sender = message.sender
         if isinstance(sender, messages.ProcessInfo):
-            self.met = True
-            self.newest_heard = max(self.newest_heard or 0, sender.config)
+            self.has_joined = True
+            self.newest_announced_version = max(
+                self.newest_announced_version or 0, sender.config
+            )
             self._send(self.dissemination.observe(sender, now))
         self._learn()
 
@@ -248,7 +252,7 @@
             age=offer.age,
         )
         self.dissemination.record_offer(offer, now)
-        self._on_record(zlib.decompress(offer.compressed), "peer")
+        self._on_record_received(zlib.decompress(offer.compressed), "peer")
         self._send(self.dissemination.tick(now))
 
     def _send(self, sends: list[gossip.Send]) -> None:
@@ -262,11 +266,11 @@
                 self._balancer.remove_process(name)
             else:
                 self._balancer.update_process(info)
-        if self._counted:
+        if self._size_known:
             known = len(self.directory.member_by_name)
             self._balancer.process_count = known + 1
 
-    def describe(self) -> bool:
+    def update_own_targets(self) -> bool:
         """Describes this process anew; True when that is news."""
         targets = tuple(
             self._info(site.controller)
@@ -292,8 +296,8 @@
             1,
         )
 
-    def tell_all(self) -> None:
+    def publish_targets(self) -> None:
         """Tells peers of this process's targets at once."""
-        if self.describe():
+        if self.update_own_targets():
             self._learn()
             self.gossip.queue_rumor(self.directory.own.name)
--- a/forklift/shell/datagrams.py
+++ b/forklift/shell/datagrams.py
@@ -12,14 +12,14 @@
 
 # Largest message, bytes: what no network of the usual kind splits, with room
 # for the headers of tunnels.
-MOST = 1_400
+MAX_DATAGRAM_BYTES = 1_400
 # Messages that are taken in one wake, so that a flood does not keep the loop.
-AT_ONCE = 64
+MAX_RECEIVES_PER_WAKEUP = 64
 # Bytes that the system may hold of either way: a burst of all peers.
 BUFFER_BYTES = 1 << 20
 
 
-class Datagrams:
+class DatagramSocket:
     """Sends and receives datagrams at one address."""
 
     def __init__(self, on_data: Callable[[bytes], None]):
@@ -46,7 +46,7 @@
         loop.add_reader(made.fileno(), self._receive)
 
     @property
-    def opened(self) -> bool:
+    def is_open(self) -> bool:
         """Whether it listens."""
         return self._socket is not None
 
@@ -66,7 +66,7 @@
             self._socket = None
 
     def _receive(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_RECEIVES_PER_WAKEUP):
             if self._socket is None:
                 return
             try:
--- a/forklift/shell/framing.py
+++ b/forklift/shell/framing.py
@@ -17,12 +17,12 @@
 
 _log = structlog.get_logger(__name__)
 _PREFIX = struct.Struct("!I")
-WINDOW = 262_144
+FLOW_CONTROL_WINDOW = 262_144
 NONCE_BYTES = 16
 # Marks a compressed frame in its length.
 _COMPRESSED = 1 << 31
 # Smaller frames gain nothing, bytes.
-COMPRESS_FROM = 64
+MIN_COMPRESS_BYTES = 64
 # A window of 4 KB holds the last ten heads or so, which is where a head
 # repeats; both ways cost 35 KB of memory a connection.
 _WINDOW_BITS = -12
@@ -39,7 +39,7 @@
     """
 
 
-class _Deflate:
+class _FrameCompressor:
     """Compresses the frames of one connection, each against those before."""
 
     def __init__(self):
@@ -54,7 +54,7 @@
         return packed.removesuffix(_FLUSHED)
 
 
-class _Inflate:
+class _FrameDecompressor:
     """Expands the compressed frames of one connection, in their order."""
 
     def __init__(self):
@@ -77,11 +77,13 @@
         return data
 
 
-class Frames(asyncio.Protocol):
+class FrameConnection(asyncio.Protocol):
     """Splits bytes into frames; hands each on at once."""
 
-    def __init__(self, on_made: Callable[["Frames"], None] | None = None):
-        self._on_made = on_made
+    def __init__(
+        self, on_connect: Callable[["FrameConnection"], None] | None = None
+    ):
+        self._on_connect = on_connect
         self._buffer = bytearray()
         self._can_write = asyncio.Event()
         self._can_write.set()
@@ -94,16 +96,16 @@
         # Whether what is sent from now on is compressed, other than bodies,
         # which mostly are already.
         self.compress = False
-        self._deflate: _Deflate | None = None
-        self._inflate: _Inflate | None = None
+        self._deflate: _FrameCompressor | None = None
+        self._inflate: _FrameDecompressor | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See `asyncio.Protocol`."""
         self.transport = transport
         name = transport.get_extra_info("peername")
         self.peer = f"{name[0]}:{name[1]}" if name else ""
-        if self._on_made is not None:
-            self._on_made(self)
+        if self._on_connect is not None:
+            self._on_connect(self)
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
@@ -154,13 +156,13 @@
         data = messages.encode(frame)
         mark = 0
         if self._gains(frame, data):
-            self._deflate = self._deflate or _Deflate()
+            self._deflate = self._deflate or _FrameCompressor()
             data = self._deflate.pack(data)
             mark = _COMPRESSED
         self.transport.write(_PREFIX.pack(mark | len(data)) + data)
 
     def _gains(self, frame: messages.Frame, data: bytes) -> bool:
-        large = len(data) >= COMPRESS_FROM
+        large = len(data) >= MIN_COMPRESS_BYTES
         return (
             self.compress
             and large
@@ -190,13 +192,13 @@
             data = bytes(self._buffer[start + _PREFIX.size : end])
             start = end
             if prefix & _COMPRESSED:
-                self._inflate = self._inflate or _Inflate()
+                self._inflate = self._inflate or _FrameDecompressor()
                 data = self._inflate.expand(data)
             self.on_frame(messages.decode_frame(data))
         del self._buffer[:start]
 
 
-class Sending:
+class SendWindow:
     """The credit of one stream's body on its way out."""
 
     def __init__(self, credit: int):
@@ -204,7 +206,7 @@
         self._news = asyncio.Event()
         self.lost = False
 
-    def give(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """The other side took some."""
         self._credit += size
         self._news.set()
@@ -214,7 +216,7 @@
         self.lost = True
         self._news.set()
 
-    async def take(self, most: int) -> int:
+    async def acquire(self, most: int) -> int:
         """Waits for credit and takes up to `most` of it.
 
         Raises:
@@ -230,20 +232,22 @@
         return size
 
 
-async def send_pieces(
-    frames: Frames, sending: Sending, stream: int, piece: bytes
+async def send_chunks(
+    frames: FrameConnection, window: SendWindow, stream: int, piece: bytes
 ) -> None:
     """Sends bytes of a body within the credit of its stream."""
     start = 0
     while start < len(piece):
-        size = await sending.take(min(len(piece) - start, WINDOW))
+        size = await window.acquire(
+            min(len(piece) - start, FLOW_CONTROL_WINDOW)
+        )
         part = piece[start : start + size]
         frames.send(messages.BodyChunk(stream, part, False))
         await frames.drain()
         start += size
 
 
-def prove(key: bytes, nonce: bytes, other: bytes) -> bytes:
+def compute_proof(key: bytes, nonce: bytes, other: bytes) -> bytes:
     """Proof of the key for a pair of nonces, ours and the other side's."""
     return hmac.digest(key, b"forklift" + nonce + other, "sha256")
 
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -289,13 +289,13 @@
         """Closes once the caller has taken all, or stalls."""
         # What came behind the last answer is owed nothing.
         self._leftover, self._half_read = b"", False
-        self.connection.finish()
+        self.connection.half_close()
         unsent = self.connection.unsent
         try:
             async with asyncio.timeout(
                 response_writer.STALL_TIMEOUT if unsent else LINGER
             ):
-                await self.connection.gone()
+                await self.connection.wait_closed()
         except TimeoutError:
             if self.connection.unsent:
                 self.connection.abort()
@@ -476,7 +476,7 @@
             if not self._answers:
                 self._idle_since = self._clock.monotonic()
             if not self._reading and not self._answers:
-                self.connection.finish()
+                self.connection.half_close()
 
     def _break(self) -> None:
         """An answer can't be made whole any more: break it visibly."""
--- a/forklift/shell/peer_client.py
+++ b/forklift/shell/peer_client.py
@@ -39,33 +39,35 @@
         self.idempotent = idempotent
         self.head: asyncio.Future = asyncio.get_running_loop().create_future()
         self.pieces: exchange.BodyStream | None = None
-        self.sending = framing.Sending(0)
+        self.window = framing.SendWindow(0)
         self.failure: messages.Failure | None = None
 
 
 class ClientConnection:
     """One connection to a peer; both sides may ask over their own."""
 
-    def __init__(self, frames: framing.Frames, own: messages.Hello, key: bytes):
+    def __init__(
+        self, frames: framing.FrameConnection, own: messages.Hello, key: bytes
+    ):
         self._frames = frames
         self._own = own
         self._key = key
         self._ids = itertools.count(1)
         self._asked_by_id: dict[int, _Asked] = {}
         self._fence_by_id: dict[int, asyncio.Future] = {}
-        self._beat = 0
+        self._keepalive_number = 0
         self.peer: messages.Hello | None = None
-        self.proven = False
+        self.authenticated = False
         self.ready = asyncio.get_running_loop().create_future()
-        self.on_sign: Callable[[], None] = lambda: None
+        self.on_reply: Callable[[], None] = lambda: None
         self.on_lost: Callable[[], None] = lambda: None
-        self.on_standing: Callable[[messages.LoadUpdate], None] = (
+        self.on_load_update: Callable[[messages.LoadUpdate], None] = (
             lambda standing: None
         )
         # Set while the path is condemned.
-        self.silenced = asyncio.Event()
+        self.unresponsive = asyncio.Event()
         self.incarnation = 0
-        self.waiting = 0
+        self.pending_count = 0
         frames.on_frame = self._frame
         frames.on_lost = self._lost
 
@@ -74,11 +76,11 @@
         """Whether the connection is gone."""
         return self._frames.lost
 
-    def open(self) -> None:
+    def send_hello(self) -> None:
         """Says hello."""
         self._frames.send(self._own)
 
-    async def ask(
+    async def send_request(
         self,
         start: messages.RequestStart,
         request: exchange.Request,
@@ -96,7 +98,7 @@
             raise errors.PeerUnreachable(self.peer.name, "lost")
         asked = _Asked(start.idempotent)
         self._asked_by_id[start.id] = asked
-        self.waiting += 1
+        self.pending_count += 1
         upload = None
         over = False
         try:
@@ -109,15 +111,15 @@
             over = True
             return result
         finally:
-            self.waiting -= 1
+            self.pending_count -= 1
             del self._asked_by_id[start.id]
-            asked.sending.fail()
+            asked.window.fail()
             if upload is not None:
                 upload.cancel()
             if not over and not self.lost:
                 self._frames.send(messages.Cancel(start.id))
 
-    def next_id(self) -> int:
+    def next_stream_id(self) -> int:
         """A stream number never used before on this connection."""
         return next(self._ids)
 
@@ -132,7 +134,7 @@
             to_boot: Boot of the guard that the request was sent to.
             to: Process of that guard where it is not this peer.
         """
-        stream = self.next_id()
+        stream = self.next_stream_id()
         future = asyncio.get_running_loop().create_future()
         self._fence_by_id[stream] = future
         try:
@@ -146,17 +148,17 @@
         finally:
             del self._fence_by_id[stream]
 
-    def beat(self) -> None:
+    def send_keepalive(self) -> None:
         """Asks for a sign of life."""
-        self._beat += 1
-        self._frames.send(messages.KeepAlive(self._beat, False))
+        self._keepalive_number += 1
+        self._frames.send(messages.KeepAlive(self._keepalive_number, False))
 
-    def give_up_repeatable(self) -> None:
+    def fail_idempotent(self) -> None:
         """The path is condemned: what may run twice goes elsewhere.
 
         What may not is left where it is; its answer can still come.
         """
-        self.silenced.set()
+        self.unresponsive.set()
         for asked in self._asked_by_id.values():
             if asked.idempotent:
                 self._break(asked)
@@ -200,10 +202,10 @@
     ) -> None:
         try:
             # Nothing is taken of the body before the guard asks for it.
-            await asked.sending.take(0)
+            await asked.window.acquire(0)
             async for piece in request.body.chunks():
-                await framing.send_pieces(
-                    self._frames, asked.sending, stream, piece
+                await framing.send_chunks(
+                    self._frames, asked.window, stream, piece
                 )
             self._frames.send(messages.BodyChunk(stream, b"", True))
         except (
@@ -223,12 +225,12 @@
         if isinstance(frame, messages.Proof):
             self._proof(frame)
             return
-        if not self.proven:
+        if not self.authenticated:
             raise messages.MalformedMessage(
                 "a frame before the proof of the key"
             )
-        self.silenced.clear()
-        self.on_sign()
+        self.unresponsive.clear()
+        self.on_reply()
         if isinstance(frame, messages.ResponseStart):
             self._head(frame)
         elif isinstance(frame, messages.BodyChunk):
@@ -238,11 +240,11 @@
         elif isinstance(frame, messages.Credit):
             asked = self._asked_by_id.get(frame.id)
             if asked is not None:
-                asked.sending.give(frame.size)
+                asked.window.add_credit(frame.size)
         elif isinstance(frame, messages.Failure):
             self._failure(frame)
         elif isinstance(frame, messages.LoadUpdate):
-            self.on_standing(frame)
+            self.on_load_update(frame)
         elif isinstance(frame, messages.FenceReply):
             future = self._fence_by_id.get(frame.id)
             if future is not None and not future.done():
@@ -253,11 +255,13 @@
         self.incarnation = hello.incarnation
         # One that does not know of compression does not say that it will.
         self._frames.compress = self._own.compress and hello.compress
-        digest = framing.prove(self._key, self._own.nonce, hello.nonce)
+        digest = framing.compute_proof(self._key, self._own.nonce, hello.nonce)
         self._frames.send(messages.Proof(digest))
 
     def _proof(self, proof: messages.Proof) -> None:
-        wanted = framing.prove(self._key, self.peer.nonce, self._own.nonce)
+        wanted = framing.compute_proof(
+            self._key, self.peer.nonce, self._own.nonce
+        )
         if not hmac.compare_digest(wanted, proof.digest):
             if not self.ready.done():
                 self.ready.set_exception(
@@ -265,7 +269,7 @@
                 )
             self._frames.transport.abort()
             return
-        self.proven = True
+        self.authenticated = True
         if not self.ready.done():
             self.ready.set_result(None)
 
@@ -303,7 +307,7 @@
         self.on_lost()
 
     def _break(self, asked: _Asked) -> None:
-        asked.sending.fail()
+        asked.window.fail()
         if not asked.head.done():
             asked.head.set_result(None)
         elif asked.pieces is not None:
@@ -330,9 +334,11 @@
     host, port = tcp_stream.split_address(address)
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(HELLO_TIMEOUT):
-        _, frames = await loop.create_connection(framing.Frames, host, port)
-        tcp_stream.bound_silence(frames.transport)
+        _, frames = await loop.create_connection(
+            framing.FrameConnection, host, port
+        )
+        tcp_stream.set_user_timeout(frames.transport)
         link = ClientConnection(frames, own, key)
-        link.open()
+        link.send_hello()
         await link.ready
     return link
--- a/forklift/shell/peer_connections.py
+++ b/forklift/shell/peer_connections.py
@@ -30,9 +30,9 @@
         hello: Callable[[], messages.Hello],
         key: bytes,
         clock,
-        on_standing: Callable[[messages.LoadUpdate], None] | None = None,
+        on_load_update: Callable[[messages.LoadUpdate], None] | None = None,
     ):
-        self._on_standing = on_standing
+        self._on_load_update = on_load_update
         self._directory = directory
         self._reachability = known
         self._hello = hello
@@ -80,7 +80,7 @@
         for process, link in list(self.connection_by_process.items()):
             if link.lost:
                 del self.connection_by_process[process]
-            elif link.waiting:
+            elif link.pending_count:
                 self._reachability.expect_reply(process, now)
             else:
                 self._reachability.cancel_expected_reply(process)
@@ -88,18 +88,20 @@
             _log.warning("peer_lost", process=process, cause="silent")
             link = self.connection_by_process.get(process)
             if link is not None:
-                link.give_up_repeatable()
+                link.fail_idempotent()
         for process in self._reachability.take_due_heartbeats(now):
             task = asyncio.create_task(self._ask_for_sign(process))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def others(self, process: str) -> list[str]:
+    def connected_except(self, process: str) -> list[str]:
         """Processes that are connected, other than one, and not silent."""
         return [
             name
             for name, link in self.connection_by_process.items()
-            if name != process and not link.lost and not link.silenced.is_set()
+            if name != process
+            and not link.lost
+            and not link.unresponsive.is_set()
         ]
 
     def close(self) -> None:
@@ -110,7 +112,7 @@
     async def _ask_for_sign(self, process: str) -> None:
         try:
             link = await self.get(process)
-            link.beat()
+            link.send_keepalive()
         except (errors.PeerUnreachable, framing.PeerConnectionLost):
             return
 
@@ -137,9 +139,9 @@
             link.close()
             self._fail(process, "another answers", now())
             raise errors.PeerUnreachable(process, "another process answers")
-        link.on_sign = lambda: self._hear(process)
-        if self._on_standing is not None:
-            link.on_standing = self._on_standing
+        link.on_reply = lambda: self._hear(process)
+        if self._on_load_update is not None:
+            link.on_load_update = self._on_load_update
         link.on_lost = lambda: self._lost(process, link)
         # It has just shown that both ways are open.
         self._hear(process)
--- a/forklift/shell/peer_server.py
+++ b/forklift/shell/peer_server.py
@@ -23,11 +23,13 @@
 class ResponseSink:
     """The sink of an answer that goes back to the peer that asked."""
 
-    def __init__(self, frames: framing.Frames, stream: int, request_id: str):
+    def __init__(
+        self, frames: framing.FrameConnection, stream: int, request_id: str
+    ):
         self._frames = frames
         self._stream = stream
         self._request_id = request_id
-        self.sending = framing.Sending(framing.WINDOW)
+        self.window = framing.SendWindow(framing.FLOW_CONTROL_WINDOW)
         self.has_started = False
 
     async def start(self, head: exchange.Head) -> None:
@@ -48,8 +50,8 @@
     async def data(self, piece: bytes) -> None:
         """See `exchange.Sink`."""
         with _as_sink():
-            await framing.send_pieces(
-                self._frames, self.sending, self._stream, piece
+            await framing.send_chunks(
+                self._frames, self.window, self._stream, piece
             )
 
     async def end(self) -> None:
@@ -72,7 +74,7 @@
 
     def __init__(
         self,
-        frames: framing.Frames,
+        frames: framing.FrameConnection,
         own: Callable[[], messages.Hello],
         key: bytes,
         handler: Handler,
@@ -92,9 +94,9 @@
         self._answerer_by_id: dict[int, ResponseSink] = {}
         self._pieces_by_id: dict[int, exchange.BodyStream] = {}
         self._relays: set[asyncio.Task] = set()
-        self.last_start = float("-inf")
+        self.last_request_at = float("-inf")
         self.peer: messages.Hello | None = None
-        self.proven = False
+        self.authenticated = False
         frames.on_frame = self._frame
         frames.on_lost = self._lost
 
@@ -108,15 +110,15 @@
         """Bytes for the peer that the system has not taken."""
         return self._frames.unsent
 
-    def beat(self) -> None:
+    def send_keepalive(self) -> None:
         """Gives a sign of life to a peer that is owed an answer.
 
         Unasked: to be asked would wake both sides once more for each sign.
         """
-        if self.busy and self.proven and not self._frames.lost:
+        if self.busy and self.authenticated and not self._frames.lost:
             self._frames.send(messages.KeepAlive(0, True))
 
-    def finish(self) -> None:
+    def half_close(self) -> None:
         """Ends what is sent; the peer closes once it has taken all.
 
         A connection that is closed answers the peer's next beat with a reset,
@@ -129,7 +131,9 @@
         """Closes the connection."""
         self._frames.transport.abort()
 
-    def tell(self, standing: messages.LoadUpdate, since: float) -> None:
+    def send_load_update(
+        self, standing: messages.LoadUpdate, since: float
+    ) -> None:
         """Tells the peer unasked how a target stands.
 
         Args:
@@ -137,7 +141,11 @@
             since: Only a peer that asked for something since then is told;
                 loop seconds.
         """
-        if self.last_start < since or not self.proven or self._frames.lost:
+        if (
+            self.last_request_at < since
+            or not self.authenticated
+            or self._frames.lost
+        ):
             return
         self._frames.send(standing)
 
@@ -148,11 +156,13 @@
                 msgspec.structs.replace(self._own, compress=frame.compress)
             )
             self._frames.compress = frame.compress
-            digest = framing.prove(self._key, self._own.nonce, frame.nonce)
+            digest = framing.compute_proof(
+                self._key, self._own.nonce, frame.nonce
+            )
             self._frames.send(messages.Proof(digest))
         elif isinstance(frame, messages.Proof):
             self._proof(frame)
-        elif not self.proven:
+        elif not self.authenticated:
             self._on_refused()
             raise messages.MalformedMessage(
                 "a frame before the proof of the key"
@@ -166,7 +176,7 @@
         elif isinstance(frame, messages.Credit):
             answerer = self._answerer_by_id.get(frame.id)
             if answerer is not None:
-                answerer.sending.give(frame.size)
+                answerer.window.add_credit(frame.size)
         elif isinstance(frame, messages.Cancel):
             task = self._task_by_id.get(frame.id)
             if task is not None:
@@ -195,16 +205,18 @@
     def _proof(self, proof: messages.Proof) -> None:
         if self.peer is None:
             raise messages.MalformedMessage("a proof before the hello")
-        wanted = framing.prove(self._key, self.peer.nonce, self._own.nonce)
+        wanted = framing.compute_proof(
+            self._key, self.peer.nonce, self._own.nonce
+        )
         if not hmac.compare_digest(wanted, proof.digest):
             self._on_refused()
             raise messages.MalformedMessage("the shared key differs")
-        self.proven = True
+        self.authenticated = True
 
     def _start(self, start: messages.RequestStart) -> None:
         if start.id in self._task_by_id:
             raise messages.MalformedMessage("a stream number was used again")
-        self.last_start = asyncio.get_running_loop().time()
+        self.last_request_at = asyncio.get_running_loop().time()
         body = exchange.Body(start.body)
         if not start.complete:
             body = exchange.Body(b"", self._rest(start))
@@ -218,7 +230,7 @@
     async def _rest(self, start: messages.RequestStart):
         pieces = exchange.BodyStream(lambda size: self._credit(start.id, size))
         self._pieces_by_id[start.id] = pieces
-        self._credit(start.id, framing.WINDOW)
+        self._credit(start.id, framing.FLOW_CONTROL_WINDOW)
         async for piece in pieces:
             yield piece
 
@@ -238,7 +250,7 @@
         except tcp_stream.ConnectionLost:
             pass
         finally:
-            answerer.sending.fail()
+            answerer.window.fail()
             self._task_by_id.pop(start.id, None)
             self._answerer_by_id.pop(start.id, None)
             self._pieces_by_id.pop(start.id, None)
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -102,8 +102,8 @@
             decode,
             self.active_catalog,
             self.clock,
-            lambda: self.control_protocols.newest_heard,
-            lambda: self.control_protocols.alone,
+            lambda: self.control_protocols.newest_announced_version,
+            lambda: self.control_protocols.is_alone,
             self._taken,
         )
         self.quarantine = quarantine.Quarantine()
@@ -145,7 +145,7 @@
             self.active_catalog,
             self.beside,
             self.clock,
-            lambda: self.control_protocols.tell_all(),
+            lambda: self.control_protocols.publish_targets(),
         )
         self.quarantine_store = quarantine_store.QuarantineStore(
             own.name,
@@ -174,7 +174,7 @@
             self.directory,
             _limit_bounds(self.settings),
             self.active_catalog,
-            lambda: self.control_protocols.counted,
+            lambda: self.control_protocols.size_known,
             self.control_channel.send,
             self.clock,
             self._rng,
@@ -262,7 +262,7 @@
             control=own.control_public or self.control_channel.address,
         )
         self.spawn(self.follower.run())
-        self.spawn(self.control_protocols.meet(self.store))
+        self.spawn(self.control_protocols.join(self.store))
         self.spawn(self.target_registry.discover_local_target())
         self.ticker.start()
         _log.info(
@@ -351,7 +351,10 @@
         if self.stopping or not self.active_catalog.loaded:
             return False
         age = self.clock.monotonic() - self._started_at
-        return self.control_protocols.met or age >= READY_WITHOUT_PEERS_AFTER
+        return (
+            self.control_protocols.has_joined
+            or age >= READY_WITHOUT_PEERS_AFTER
+        )
 
     def spawn(self, work) -> None:
         """Runs a coroutine beside, until the process ends."""
@@ -369,7 +372,7 @@
         """The store came back without some of what it had acknowledged."""
         self.directory.update_own(store_epoch=self.store.epoch or 0)
         self.follower.restart_read()
-        self.control_protocols.store_lost.set()
+        self.control_protocols.store_data_lost.set()
         self.quarantine_store.rewrite_all()
 
     def _taken(self, found: catalog.Catalog, source: str) -> None:
@@ -426,7 +429,7 @@
         if not changed.closed:
             since = asyncio.get_running_loop().time() - RECENT_SENDER_TIME
         for served in list(self.served):
-            served.tell(standing, since)
+            served.send_load_update(standing, since)
         if changed.health.ejected:
             self.counters.ejections_by_signal[str(changed.health.signal)] += 1
         _log.info(
@@ -438,7 +441,7 @@
             running=load.in_flight,
         )
         if changed.closed:
-            self.control_protocols.tell_all()
+            self.control_protocols.publish_targets()
 
     def _standing(self, standing: messages.LoadUpdate) -> None:
         now = self.clock.monotonic()
@@ -502,10 +505,13 @@
         host, port = tcp_stream.split_address(address)
         loop = asyncio.get_running_loop()
         return await loop.create_server(
-            lambda: framing.Frames(self._accept_peer), host, port, backlog=1024
+            lambda: framing.FrameConnection(self._accept_peer),
+            host,
+            port,
+            backlog=1024,
         )
 
-    def _accept_peer(self, frames: framing.Frames) -> None:
+    def _accept_peer(self, frames: framing.FrameConnection) -> None:
         served = peer_server.ServerConnection(
             frames,
             self._hello,
@@ -564,7 +570,7 @@
             self.ingress.running
             or self.beside.running
             or self.balancer.reachability.needs_checks
-            or self.control_protocols.active(self.clock.monotonic())
+            or self.control_protocols.is_active(self.clock.monotonic())
         )
 
     def _heard(self, message: messages.Control) -> None:
@@ -577,7 +583,7 @@
         sender = message.sender
         if isinstance(sender, messages.ProcessInfo):
             self._compare_era(sender)
-        if self.control_protocols.active(self.clock.monotonic()):
+        if self.control_protocols.is_active(self.clock.monotonic()):
             self.ticker.wake()
 
     def _compare_era(self, peer: messages.ProcessInfo) -> None:
@@ -604,12 +610,12 @@
         if now >= self._next_beat:
             self._next_beat = now + KEEPALIVE_INTERVAL
             for served in list(self.served):
-                served.beat()
+                served.send_keepalive()
         if now >= self._next_slow:
             self._next_slow = now + SLOW_TICK_INTERVAL
             self.ingress.tick(now)
             self.target_registry.expire(now)
-            self.control_protocols.describe()
+            self.control_protocols.update_own_targets()
             self._ask_for_work(now)
             self.quarantine_store.tick()
         self.control_protocols.tick(now)
@@ -630,7 +636,9 @@
                 and load.idle > IDLE_TARGET_TIME
                 and self.active_catalog.loaded
             ):
-                self.control_protocols.ask_for_work(site.controller.name, load)
+                self.control_protocols.announce_idle_target(
+                    site.controller.name, load
+                )
 
     def _look_beside(self, now: float) -> None:
         """Keeps the choice of targets up to date on those beside."""
@@ -653,7 +661,7 @@
         _log.warning("paused", seconds=round(paused, 2))
         for site in self.beside.site_by_target.values():
             site.controller.exclude_pause(paused)
-        self.control_protocols.paused()
+        self.control_protocols.handle_pause()
 
 
 def load_policy(read: settings.Settings) -> policy.Policy:
--- a/forklift/shell/push_sockets.py
+++ b/forklift/shell/push_sockets.py
@@ -19,7 +19,7 @@
 SEND_BUFFER = 64
 # Seconds for which a connection is kept, answered or not: many times what
 # opening one takes, half of the bound within which a version must be told.
-RENEW_AFTER = 1.0
+MIN_CONNECTION_AGE = 1.0
 
 # One loop on one thread decides; nng's own threads only move bytes. Its
 # defaults start 30 of them, these settings start 6 (docs/DESIGN.md).
@@ -44,7 +44,7 @@
         self._listener: pynng.nng.Listener | None = None
         self._task: asyncio.Task | None = None
         self._closed = False
-        self.renewed = 0
+        self.reconnects = 0
 
     def open(self, address: str) -> str:
         """Listens; returns where, as port 0 lets the system choose one.
@@ -57,7 +57,7 @@
             self._task = asyncio.create_task(self._receive())
         return str(self._listener.local_address)
 
-    def leave(self) -> None:
+    def stop_listening(self) -> None:
         """Listens no more at the address that was opened last."""
         self._listener.close()
 
@@ -72,15 +72,15 @@
             socket.close()
         self._socket_by_address.clear()
 
-    def send(self, address: str, data: bytes, renew: bool) -> bool:
+    def send(self, address: str, data: bytes, new_connection: bool) -> bool:
         """Hands a message to the library; False where it does not take it.
 
         Args:
             address: Of the receiver.
             data: The message.
-            renew: Whether it goes over a new connection.
+            new_connection: Whether it goes over a new connection.
         """
-        if renew:
+        if new_connection:
             self._hang_up(address)
         try:
             self._socket(address).send(data, block=False)
@@ -96,12 +96,12 @@
         """
         now = asyncio.get_running_loop().time()
         opened = self._opened_at_by_address.get(address, -math.inf)
-        if now - opened < RENEW_AFTER:
+        if now - opened < MIN_CONNECTION_AGE:
             return
         socket = self._socket_by_address.pop(address, None)
         if socket is not None:
             socket.close()
-            self.renewed += 1
+            self.reconnects += 1
 
     def _socket(self, address: str) -> pynng.Push0:
         socket = self._socket_by_address.pop(address, None)
--- a/forklift/shell/sending.py
+++ b/forklift/shell/sending.py
@@ -126,7 +126,7 @@
         try:
             async with asyncio.timeout(remaining + DEADLINE_GRACE):
                 if request.idempotent:
-                    return await link.ask(start, request, sink)
+                    return await link.send_request(start, request, sink)
                 return await self._ask_once(link, start, request, sink)
         except TimeoutError:
             result = exchange.unknown(Reason.TIMEOUT)
@@ -149,8 +149,8 @@
         the request never starts lets it go elsewhere in time.
         """
         process = link.peer.name
-        answer = asyncio.create_task(link.ask(start, request, sink))
-        silence = asyncio.create_task(link.silenced.wait())
+        answer = asyncio.create_task(link.send_request(start, request, sink))
+        silence = asyncio.create_task(link.unresponsive.wait())
         try:
             await asyncio.wait(
                 (answer, silence), return_when=asyncio.FIRST_COMPLETED
@@ -181,7 +181,7 @@
 
     async def _fence_around(self, process: str, seq: int, to_boot: int) -> bool:
         """Asks the guard through others, as the own path is silent."""
-        names = self._links.others(process)
+        names = self._links.connected_except(process)
         chosen = self._rng.sample(names, min(RELAYS, len(names)))
         asked = [self._relayed(name, process, seq, to_boot) for name in chosen]
         for answer in asyncio.as_completed(asked):
@@ -222,7 +222,7 @@
     small = len(request.body.prefix) < FOLLOWING_BYTES
     complete = request.body.complete and small
     return messages.RequestStart(
-        id=link.next_id(),
+        id=link.next_stream_id(),
         seq=seq,
         service=request.service,
         target=target,
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -110,7 +110,7 @@
 async def _part(proxy) -> None:
     """Has peers take what the system holds for them, and close."""
     for served in list(proxy.served):
-        served.finish()
+        served.half_close()
     until = min(
         proxy.stop_deadlines.exit_at,
         proxy.clock.monotonic() + PEER_CLOSE_TIMEOUT,
--- a/forklift/shell/tcp_stream.py
+++ b/forklift/shell/tcp_stream.py
@@ -6,7 +6,7 @@
 
 READ_LIMIT = 65_536
 # Milliseconds; longer than any request of ours waits for its answer.
-UNACKNOWLEDGED_MS = 8_000
+USER_TIMEOUT_MS = 8_000
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -26,8 +26,10 @@
 class Connection(asyncio.Protocol):
     """Bytes in and out, with backpressure both ways."""
 
-    def __init__(self, on_made: Callable[["Connection"], None] | None = None):
-        self._on_made = on_made
+    def __init__(
+        self, on_connect: Callable[["Connection"], None] | None = None
+    ):
+        self._on_connect = on_connect
         self._buffer = bytearray()
         self._eof = False
         self._lost = False
@@ -37,7 +39,7 @@
         self._reader: asyncio.Future[None] | None = None
         self._can_write = asyncio.Event()
         self._can_write.set()
-        self._gone = asyncio.Event()
+        self._closed_event = asyncio.Event()
         self.on_lost: Callable[[], None] | None = None
         # Set when the connection broke rather than ended.
         self.error: Exception | None = None
@@ -51,8 +53,8 @@
         self.transport = transport
         name = transport.get_extra_info("peername")
         self.peer = name[0] if name else ""
-        if self._on_made is not None:
-            self._on_made(self)
+        if self._on_connect is not None:
+            self._on_connect(self)
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
@@ -78,7 +80,7 @@
         self._eof = True
         self.error = error
         self._can_write.set()
-        self._gone.set()
+        self._closed_event.set()
         self._wake()
         if self.on_lost is not None:
             self.on_lost()
@@ -169,11 +171,11 @@
         self._interruption = error
         self._wake()
 
-    async def gone(self) -> None:
+    async def wait_closed(self) -> None:
         """Waits until the connection is closed and all was sent."""
-        await self._gone.wait()
+        await self._closed_event.wait()
 
-    def finish(self) -> None:
+    def half_close(self) -> None:
         """Ends what is sent; the connection is closed by the other side.
 
         What still comes is dropped: a connection that is closed with unread
@@ -210,7 +212,7 @@
             self._reader.set_result(None)
 
 
-def bound_silence(transport: asyncio.BaseTransport) -> None:
+def set_user_timeout(transport: asyncio.BaseTransport) -> None:
     """Ends a connection whose other side acknowledges nothing for a while.
 
     Without it, one to an instance that lost power would hang for minutes.
@@ -218,7 +220,7 @@
     end = transport.get_extra_info("socket")
     if end is not None:
         option = socket.TCP_USER_TIMEOUT
-        end.setsockopt(socket.IPPROTO_TCP, option, UNACKNOWLEDGED_MS)
+        end.setsockopt(socket.IPPROTO_TCP, option, USER_TIMEOUT_MS)
 
 
 async def connect(address: str) -> Connection:
@@ -240,9 +242,9 @@
 
 
 async def listen(
-    address: str, on_made: Callable[[Connection], None]
+    address: str, on_connect: Callable[[Connection], None]
 ) -> asyncio.Server:
-    """Listens on "ip:port" and hands each connection to `on_made`.
+    """Listens on "ip:port" and hands each connection to `on_connect`.
 
     Raises:
         OSError: The address is taken or not ours.
@@ -250,5 +252,5 @@
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     return await loop.create_server(
-        lambda: Connection(on_made), host, port, backlog=1024
+        lambda: Connection(on_connect), host, port, backlog=1024
     )
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -155,7 +155,7 @@
         self.add_counter(
             "forklift.control.renewed",
             "Control connections opened anew as something was not answered",
-            lambda: [(proxy.control_channel.renewed, {})],
+            lambda: [(proxy.control_channel.reconnects, {})],
         )
         self.add_counter(
             "forklift.logs.dropped",
--- a/forklift_lab/relay.py
+++ b/forklift_lab/relay.py
@@ -17,7 +17,7 @@
 from forklift.shell import tcp_stream
 
 # Ports that are tried until both kinds of bytes have the same one.
-PORTS_TRIED = 16
+MAX_PORT_ATTEMPTS = 16
 _CHUNK = 65_536
 _NO_LINGER = struct.pack("ii", 1, 0)
 
@@ -35,9 +35,9 @@
 
     def __init__(self, target: str = "", datagrams: bool = False):
         self.target = target
-        self._datagrams: datagram.Datagrams | None = None
+        self._datagrams: datagram.DatagramSocket | None = None
         if datagrams:
-            self._datagrams = datagram.Datagrams(self._pass_datagram)
+            self._datagrams = datagram.DatagramSocket(self._pass_datagram)
         self.address = ""
         # Seconds by which each piece is late.
         self.delay = 0.0
@@ -53,7 +53,7 @@
         self._server: asyncio.Server | None = None
 
     async def __aenter__(self) -> "Relay":
-        for left in reversed(range(PORTS_TRIED)):
+        for left in reversed(range(MAX_PORT_ATTEMPTS)):
             self._server = await asyncio.start_server(
                 self._accept, "127.0.0.1", 0
             )
@@ -109,7 +109,7 @@
         loop.call_later(self.delay, self._send_datagram, data)
 
     def _send_datagram(self, data: bytes) -> None:
-        if self._datagrams.opened:
+        if self._datagrams.is_open:
             self._datagrams.send(self.target, data)
 
     async def _accept(
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -203,7 +203,7 @@
         current = self.node_by_name.get(node.name) is node
         if not current or node.tick_number != number:
             return
-        busy = node.control_protocols.active(self.clock.now)
+        busy = node.control_protocols.is_active(self.clock.now)
         pause = TICK if busy else ticker.IDLE_INTERVAL
         self._tick_at(node, self.clock.now + pause)
         node.control_protocols.tick(self.clock.now)
@@ -212,5 +212,5 @@
         node = self.node_by_name.get(receiver)
         if node is not None and receiver not in self.cut:
             node.control_protocols.receive(message)
-            if node.control_protocols.active(self.clock.now):
+            if node.control_protocols.is_active(self.clock.now):
                 self.tick_in(node, TICK)
--- a/test/test_control_channel.py
+++ b/test/test_control_channel.py
@@ -34,7 +34,7 @@
     monkeypatch,
 ):
     """One that fell silent takes messages for minutes and loses them."""
-    monkeypatch.setattr(push_sockets, "RENEW_AFTER", 0.0)
+    monkeypatch.setattr(push_sockets, "MIN_CONNECTION_AGE", 0.0)
 
     async def work():
         taken = []
@@ -44,12 +44,12 @@
         for _ in range(3):
             assert one.send(address, b"x", False)
             await helper.until(lambda: taken)
-        assert (len(taken), one.renewed) == (1, 0)
+        assert (len(taken), one.reconnects) == (1, 0)
         assert one.send(address, b"x", True)
         await helper.until(lambda: len(taken) == 2)
         await helper.until(lambda: taken[0].closed)
         assert not taken[1].closed
-        assert one.renewed == 1
+        assert one.reconnects == 1
         await one.close()
         listening.close()
 
@@ -107,7 +107,7 @@
             await helper.until(lambda: taken == [SMALL])
             assert one.send(other.address, LARGE)
             await helper.until(lambda: taken == [SMALL, LARGE])
-            assert (other.received, other.refused) == (2, 0)
+            assert (other.received, other.rejected) == (2, 0)
 
     helper.run(work())
 
@@ -140,7 +140,7 @@
 def test_a_port_that_others_send_datagrams_from_is_left_to_them(monkeypatch):
     """Where the system chooses the port, both kinds must have the same one."""
     taken_ports = []
-    opened = datagrams.Datagrams.open
+    opened = datagrams.DatagramSocket.open
 
     def open_(self, address: str) -> None:
         if len(taken_ports) < 2:
@@ -148,7 +148,7 @@
             raise OSError(errno.EADDRINUSE, "taken")
         opened(self, address)
 
-    monkeypatch.setattr(datagrams.Datagrams, "open", open_)
+    monkeypatch.setattr(datagrams.DatagramSocket, "open", open_)
 
     async def work():
         one = control_channel.ControlChannel(
@@ -192,7 +192,7 @@
     seal = authentication.MessageAuthenticator(1, b"k", lambda: now[0])
     old = seal.sign("a", b"old")
     receiver = authentication.MessageAuthenticator(2, b"k", lambda: 0.0)
-    for _ in range(authentication.WINDOW):
+    for _ in range(authentication.REPLAY_WINDOW):
         newest = seal.sign("a", b"new")
     receiver.verify("a", newest)
     with pytest.raises(messages.MalformedMessage):
--- a/test/test_framing.py
+++ b/test/test_framing.py
@@ -15,7 +15,7 @@
 class Transport:
     """Hands what is written to the other side, in pieces of any size."""
 
-    def __init__(self, other: framing.Frames, rng: random.Random):
+    def __init__(self, other: framing.FrameConnection, rng: random.Random):
         self.other = other
         self.rng = rng
         self.sent = 0
@@ -38,8 +38,10 @@
         self.aborted = True
 
 
-def connected(compress: bool) -> tuple[framing.Frames, list, Transport]:
-    sender, receiver = framing.Frames(), framing.Frames()
+def connected(
+    compress: bool,
+) -> tuple[framing.FrameConnection, list, Transport]:
+    sender, receiver = framing.FrameConnection(), framing.FrameConnection()
     transport = Transport(receiver, random.Random(1))
     sender.connection_made(transport)
     receiver.connection_made(Transport(sender, random.Random(2)))
@@ -79,13 +81,15 @@
 def test_a_frame_that_expands_without_bound_is_refused():
     sender, received, _ = connected(False)
     receiver = sender.transport.other
-    bomb = framing._Deflate().pack(b"\0" * (messages.MAX_FRAME_BYTES * 4))
+    bomb = framing._FrameCompressor().pack(
+        b"\0" * (messages.MAX_FRAME_BYTES * 4)
+    )
     prefix = framing._PREFIX.pack(framing._COMPRESSED | len(bomb))
     receiver.data_received(prefix + bomb)
     assert receiver.transport.aborted
     assert received == []
     with pytest.raises(messages.MalformedMessage, match="expands"):
-        framing._Inflate().expand(bomb)
+        framing._FrameDecompressor().expand(bomb)
 
 
 @hypothesis.given(strategies.binary(max_size=200), strategies.booleans())
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -197,13 +197,13 @@
     configuration sent from peer to peer.
     """
     left: list[bytes] = []
-    send_frame = framing.Frames.send
+    send_frame = framing.FrameConnection.send
 
     def note_frame(self, frame):
         left.append(msgspec.msgpack.encode(frame))
         return send_frame(self, frame)
 
-    monkeypatch.setattr(framing.Frames, "send", note_frame)
+    monkeypatch.setattr(framing.FrameConnection, "send", note_frame)
 
     async def work(fleet):
         first = fleet.proxies[0]
--- a/test/test_peer_client.py
+++ b/test/test_peer_client.py
@@ -29,10 +29,10 @@
 @pytest.mark.parametrize("agrees", [True, False])
 def test_frames_are_compressed_only_where_both_sides_want_it(asks, agrees):
     async def work():
-        frames = framing.Frames()
+        frames = framing.FrameConnection()
         frames.connection_made(Transport())
         link = peer_client.ClientConnection(frames, hello(asks), b"key")
-        link.open()
+        link.send_hello()
         assert not frames.compress
         frames.on_frame(hello(agrees))
         assert frames.compress == (asks and agrees)
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -730,7 +730,7 @@
         new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
         fleet.proxies.insert(0, new)
         await new.start()
-        await helper.until(lambda: new.control_protocols.met)
+        await helper.until(lambda: new.control_protocols.has_joined)
         fleet.announce(new, 0, sequence=2)
         await helper.until(lambda: len(picked(other)) == 2)
         assert not new.target_registry._incarnations._ended
@@ -822,7 +822,9 @@
     async def work(fleet):
         one = fleet.proxies[0]
         asked = []
-        one.control_protocols.ask_for_work = lambda *said: asked.append(said)
+        one.control_protocols.announce_idle_target = lambda *said: asked.append(
+            said
+        )
         one._ask_for_work(one.clock.monotonic())
         assert [name for name, _ in asked] == ["t0"]
         asked.clear()
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -342,7 +342,7 @@
         crash(quarantine, ord(name[1]), made.clock.now, fingerprints)
         quarantine.take_changes(made.clock.now)
     first, second = made.node_by_name.values()
-    first.control_protocols.paused()
+    first.control_protocols.handle_pause()
     made.run(0.01)
     for node in (first, second):
         found = {
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -243,7 +243,7 @@
         before, real = one.incarnation, time.clock_gettime
         asked = []
         monkeypatch.setattr(
-            one.control_protocols, "paused", lambda: asked.append(1)
+            one.control_protocols, "handle_pause", lambda: asked.append(1)
         )
 
         def later(which: int) -> float:
@@ -363,7 +363,7 @@
     async def work(fleet):
         one, other = fleet.proxies
         quarantine_locally(other)
-        one.control_protocols.paused()
+        one.control_protocols.handle_pause()
         await helper.until(
             lambda: one.quarantine.quarantined(one.clock.monotonic())
         )
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -406,7 +406,7 @@
         entry, one = fleet.proxies
         taken = []
         link = await entry.peer_connections.get("p1")
-        link.on_standing = taken.append
+        link.on_load_update = taken.append
         link._frames.transport.pause_reading()
         (served,) = one.served
         news = messages.LoadUpdate(
@@ -477,7 +477,7 @@
         entry, one = fleet.proxies
         taken = []
         link = await entry.peer_connections.get("p1")
-        link.on_standing = taken.append
+        link.on_load_update = taken.append
         (served,) = one.served
         news = messages.LoadUpdate(
             "t" * 10_000, one.beside.site_by_target["t1"].controller.load(0.0)
@@ -492,11 +492,11 @@
             served._frames.send(news)
         assert served.unsent == 0
         finished = []
-        finish = served.finish
-        served.finish = lambda: finished.append(finish())
+        finish = served.half_close
+        served.half_close = lambda: finished.append(finish())
         stop = asyncio.create_task(one.stop())
         await helper.until(lambda: finished or stop.done())
-        link.beat()
+        link.send_keepalive()
         transport.resume_reading()
         await stop
         await helper.until(lambda: link.lost)
