--- a/forklift/shell/__init__.py
+++ b/forklift/shell/__init__.py
@@ -1,1 +1,1 @@
-"""The asyncio shell around the decisions: sockets and time."""
+"""I/O layer on asyncio: runs the decision logic on sockets and timers."""
--- a/forklift/shell/clock.py
+++ b/forklift/shell/clock.py
@@ -1,8 +1,7 @@
-"""The real clock, and a loop that goes by it.
+"""System clock and event loop that count suspended time.
 
-An instance may be suspended: the system's monotonic clock stands still then,
-and a process that went by it would take requests of before for fresh ones. The
-clock since boot counts that time too.
+The system's monotonic clock stops while an instance is suspended, so requests
+from before the suspension would look recent. The boot-time clock goes on.
 """
 
 import asyncio
@@ -10,7 +9,7 @@
 
 
 class SystemClock:
-    """Time of the operating system; see `interfaces.Clock`."""
+    """Clock of the operating system; see `interfaces.Clock`."""
 
     def monotonic(self) -> float:
         """See `interfaces.Clock`."""
@@ -22,7 +21,7 @@
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """A loop whose timers are over once their time is, suspended or not."""
+    """Event loop whose timers also count suspended time."""
 
     def time(self) -> float:
         """See `asyncio.AbstractEventLoop`."""
--- a/forklift/shell/configuration_loader.py
+++ b/forklift/shell/configuration_loader.py
@@ -1,4 +1,4 @@
-"""Takes records of the configuration in, from the store and from peers."""
+"""Loads configuration records that the store and peers deliver."""
 
 from collections.abc import Callable
 
@@ -11,86 +11,95 @@
 
 _log = structlog.get_logger(__name__)
 
-# Where the configuration is read; any other source is a peer.
+# Source of records that were read from the store; other sources are peers.
 STORE_SOURCE = "store"
-# Seconds in which a process that starts learns from others which version they
-# have, before it takes what the store tells: many times the way to them.
+# Seconds after its start during which a process waits to learn the peers'
+# versions before it activates the version in the store. Must exceed the round
+# trip to a peer several times.
 PEER_VERSION_TIMEOUT = 0.5
 
 
 class ConfigurationLoader:
-    """Decodes records and puts the newest in force."""
+    """Decodes configuration records and activates the newest version."""
 
     def __init__(
         self,
         decode: Callable[[bytes], catalog.Catalog],
         active_catalog: catalog.ActiveCatalog,
         clock: clocks.SystemClock,
-        newest_heard: Callable[[], int | None],
-        alone: Callable[[], bool],
-        on_taken: Callable[[catalog.Catalog, str], None],
+        newest_peer_version: Callable[[], int | None],
+        is_alone: Callable[[], bool],
+        on_activated: Callable[[catalog.Catalog, str], None],
     ):
-        """Makes one that took nothing yet.
+        """Creates a loader that has received no record.
 
         Args:
             decode: Decodes a record.
-            active_catalog: What is in force in this process.
-            clock: Time.
-            newest_heard: The newest version that a peer said to have; None
-                where nobody said.
-            alone: Whether it is known that there is no peer.
-            on_taken: Takes note of a version that came in force, and of its
+            active_catalog: The catalog that this process uses.
+            clock: Source of time.
+            newest_peer_version: Returns the newest version that a peer has
+                announced; None if no peer has announced any.
+            is_alone: Returns whether this process is known to have no peers.
+            on_activated: Called with each catalog that was activated, and its
                 source.
         """
         self._decode = decode
         self._active_catalog = active_catalog
         self._clock = clock
-        self._newest_heard = newest_heard
-        self._alone = alone
-        self._on_taken = on_taken
+        self._newest_peer_version = newest_peer_version
+        self._is_alone = is_alone
+        self._on_activated = on_activated
         self._started_at = clock.monotonic()
-        # A version that waits for the word of peers.
-        self._held: catalog.Catalog | None = None
+        # Read from the store; not active until the peers' versions are known.
+        self._pending: catalog.Catalog | None = None
 
     def receive(self, data: bytes, source: str = STORE_SOURCE) -> None:
-        """A record of the configuration was read."""
+        """Decodes a record and activates it if it is the newest.
+
+        An invalid record is logged, counted and ignored.
+
+        Args:
+            data: Configuration record.
+            source: `STORE_SOURCE`, or the peer that sent it.
+        """
         try:
-            found = self._decode(data)
+            loaded = self._decode(data)
         except errors.ForkliftError as error:
             _log.warning(
-                "configuration_refused", source=source, detail=str(error)
+                "configuration_rejected", source=source, detail=str(error)
             )
             invalid_input.count_by_source[
                 invalid_input.Source.CONFIGURATION
             ] += 1
             return
-        if source == STORE_SOURCE and self._waits(found):
-            self._held = found
+        if source == STORE_SOURCE and self._must_wait(loaded):
+            self._pending = loaded
             return
-        self._take(found, source)
+        self._activate(loaded, source)
 
     def activate_pending(self) -> None:
-        """Takes a version that waited, once peers said what they have."""
-        held = self._held
-        if held is not None and not self._waits(held):
-            self._held = None
-            self._take(held, STORE_SOURCE)
+        """Activates a version that waited for the peers, if it need not now."""
+        pending = self._pending
+        if pending is not None and not self._must_wait(pending):
+            self._pending = None
+            self._activate(pending, STORE_SOURCE)
 
-    def _waits(self, found: catalog.Catalog) -> bool:
-        """Whether peers may have a newer version than the store tells.
+    def _must_wait(self, loaded: catalog.Catalog) -> bool:
+        """Whether peers may have a newer version than the store.
 
-        It may have come back from a copy while this process starts, so what
-        others have goes first, for a moment.
+        A store that was restored from a backup returns an old version. A
+        process that starts then must not use it while its peers use a newer
+        one.
         """
         if self._active_catalog.loaded:
             return False
         if self._clock.monotonic() - self._started_at >= PEER_VERSION_TIMEOUT:
             return False
-        heard = self._newest_heard()
-        if heard is not None:
-            return heard > found.version
-        return not self._alone()
-
-    def _take(self, found: catalog.Catalog, source: str) -> None:
-        if self._active_catalog.offer(found, source, self._clock.monotonic()):
-            self._on_taken(found, source)
+        newest = self._newest_peer_version()
+        if newest is not None:
+            return newest > loaded.version
+        return not self._is_alone()
+
+    def _activate(self, loaded: catalog.Catalog, source: str) -> None:
+        if self._active_catalog.offer(loaded, source, self._clock.monotonic()):
+            self._on_activated(loaded, source)
--- a/forklift/shell/quarantine_store.py
+++ b/forklift/shell/quarantine_store.py
@@ -1,8 +1,8 @@
-"""Keeps in the store which requests are held back, past the end of processes.
+"""Stores the evidence on quarantined requests, so that it survives restarts.
 
-All processes may end at the same moment, and the request that crashes targets
-come again to those that follow. What they need to know is written beside the
-processes' own records, which each reads at its start anyway.
+If all processes end at once, a request that crashes targets would otherwise be
+sent to targets again. The records are stored next to those of the processes,
+which each process reads when it starts.
 """
 
 import random
@@ -22,12 +22,12 @@
 
 _log = structlog.get_logger(__name__)
 
-# Begins the names of such records; no process has one that begins so.
+# Prefix of the records' names; no name of a process starts with it.
 RECORD_PREFIX = "held/"
 
 
 class QuarantineStore:
-    """Writes and reads the records of one process's quarantine."""
+    """Writes and reads the stored evidence for one process's quarantine."""
 
     def __init__(
         self,
@@ -37,86 +37,101 @@
         clock: clocks.SystemClock,
         rng: random.Random,
         spawn: Callable[[Coroutine], None],
-        others: Callable[[], list[str]],
+        other_processes: Callable[[], list[str]],
     ):
-        """Makes a keeper that wrote nothing yet.
+        """Creates an instance that has written nothing.
 
         Args:
             name: Name of this process.
-            quarantine: What is kept.
-            store: Where it is kept.
-            clock: Time.
-            rng: Draws pauses.
-            spawn: Runs a coroutine beside.
-            others: Names of the other processes.
+            quarantine: Quarantine of this process.
+            store: Store that the records are written to.
+            clock: Source of time.
+            rng: Random numbers for the backoff.
+            spawn: Runs a coroutine in the background.
+            other_processes: Returns the names of the other processes.
         """
         self._name = name
-        self._others = others
+        self._other_processes = other_processes
         self._quarantine = quarantine
         self._store = store
         self._clock = clock
         self._rng = rng
         self._spawn = spawn
-        # Crashes that the record of each request tells, or is about to.
+        # Ids of the crashes in the record of each request, which may still
+        # have to be written.
         self._crashes_by_fingerprint: dict[bytes, frozenset[int]] = {}
 
     def save(self) -> None:
-        """This process saw a crash: it writes what that tells at once."""
+        """Writes the evidence on all quarantined requests that changed.
+
+        The process that sees a crash calls this at once, whichever process
+        owns the records.
+        """
         now = self._clock.monotonic()
         for fingerprint in self._quarantine.quarantined(now):
-            self._refresh(fingerprint, now)
+            self._write_if_changed(fingerprint, now)
 
     def rewrite_all(self) -> None:
-        """The store lost records: all that are needed are written anew."""
+        """Has all records written again after the store lost some."""
         self._crashes_by_fingerprint.clear()
 
     def tick(self) -> None:
-        """Looks after the records that are this process's part.
+        """Updates the records that this process owns.
 
-        Who saw a crash may have ended before its record was written, and a
-        request that is released has no use for one.
+        The process that saw a crash may have ended before it wrote the record.
+        Records of requests that are no longer quarantined are deleted.
         """
         now = self._clock.monotonic()
-        held = set(self._quarantine.quarantined(now))
-        for fingerprint in held:
+        quarantined = set(self._quarantine.quarantined(now))
+        for fingerprint in quarantined:
             if self._owns(fingerprint):
-                self._refresh(fingerprint, now)
-        for fingerprint in set(self._crashes_by_fingerprint) - held:
+                self._write_if_changed(fingerprint, now)
+        for fingerprint in set(self._crashes_by_fingerprint) - quarantined:
             del self._crashes_by_fingerprint[fingerprint]
             if self._owns(fingerprint):
                 self._spawn(self._write(fingerprint))
 
     def load(self, name: str, data: bytes) -> None:
-        """Takes a record of the store in."""
+        """Merges a stored record into the quarantine.
+
+        An invalid record is counted and ignored.
+
+        Args:
+            name: Name of the record.
+            data: Contents of the record.
+        """
         try:
-            kept = messages.decode_evidence(data)
+            stored = messages.decode_evidence(data)
         except messages.MalformedMessage as error:
             invalid_input.record(
                 invalid_input.Source.MEMBER, str(error), name=name
             )
             return
-        since = max(0.0, self._clock.wall() - kept.at)
-        aged = messages.age_evidence(kept.evidence, since)
-        self._quarantine.merge([aged], self._clock.monotonic())
-        crashes = frozenset(one.id for one in aged.crashes)
-        self._crashes_by_fingerprint[aged.fingerprint] = crashes
+        age = max(0.0, self._clock.wall() - stored.at)
+        evidence = messages.age_evidence(stored.evidence, age)
+        self._quarantine.merge([evidence], self._clock.monotonic())
+        crashes = frozenset(crash.id for crash in evidence.crashes)
+        self._crashes_by_fingerprint[evidence.fingerprint] = crashes
 
     def _owns(self, fingerprint: bytes) -> bool:
-        """Whether it is this process, of all, that writes a record."""
-        names = [self._name, *self._others()]
+        """Whether this process is responsible for the record of a request."""
+        names = [self._name, *self._other_processes()]
         return rendezvous.select(fingerprint.hex(), names, 1) == [self._name]
 
-    def _refresh(self, fingerprint: bytes, now: float) -> None:
-        """Has a record written that is missing or behind."""
+    def _write_if_changed(self, fingerprint: bytes, now: float) -> None:
+        """Starts a write if the record is missing or lacks a crash."""
         evidence = self._quarantine.evidence(fingerprint, now)
-        crashes = frozenset(one.id for one in evidence.crashes)
+        crashes = frozenset(crash.id for crash in evidence.crashes)
         if self._crashes_by_fingerprint.get(fingerprint) != crashes:
             self._crashes_by_fingerprint[fingerprint] = crashes
             self._spawn(self._write(fingerprint))
 
     async def _write(self, fingerprint: bytes) -> None:
-        """Writes the record as it is to be, or drops it."""
-        pause = store_follower.Backoff(self._rng)
+        """Writes a record, or deletes it if the quarantine is over.
+
+        Retries with backoff until the store answers.
+        """
+        backoff = store_follower.Backoff(self._rng)
         while True:
             now = self._clock.monotonic()
             data = b""
@@ -130,5 +145,5 @@
                 )
                 return
             except errors.RegistryUnavailable as error:
-                _log.info("keeping_failed", detail=str(error))
-                await pause.wait()
+                _log.info("quarantine_write_failed", detail=str(error))
+                await backoff.wait()
--- a/forklift/shell/reload.py
+++ b/forklift/shell/reload.py
@@ -1,4 +1,4 @@
-"""Reads the settings again when their file changes, or on SIGHUP."""
+"""Reloads the settings when their file changes, or on SIGHUP."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,63 +10,79 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds between two looks at the file; it may change without a signal.
+# Seconds between two checks of the file, which may change without a signal.
 POLL_INTERVAL = 1.0
 
 
 class Watcher:
-    """Watches the settings file of a process."""
+    """Watches the settings file of a process.
+
+    Attributes:
+        rejected: Number of changes that were rejected as invalid.
+    """
 
     def __init__(
         self,
         path: str,
-        read: settings.Settings,
+        current: settings.Settings,
         on_change: Callable[[settings.Settings], None],
     ):
+        """Creates a watcher that has not read the file yet.
+
+        Args:
+            path: Settings file.
+            current: Settings that the process uses.
+            on_change: Applies new settings; raises `errors.UserError` if they
+                can't be applied.
+        """
         self._path = path
-        self._read = read
+        self._current = current
         self._on_change = on_change
         self._text = ""
-        self.refused = 0
+        self.rejected = 0
 
     def check(self) -> bool:
-        """Reads the file; True when other settings are in force now.
+        """Reads the file and applies its settings if they changed.
+
+        Invalid settings are rejected, and the current ones stay in use.
 
-        Settings that can't be used are refused, and the old ones stay.
+        Returns:
+            Whether other settings are in use now.
         """
         try:
             text = settings.read_file(self._path)
             if text == self._text:
                 return False
             self._text = text
-            found = settings.parse(self._path, text)
+            changed = settings.parse(self._path, text)
         except errors.UserError as error:
-            self.refused += 1
-            _log.warning("settings_refused", detail=str(error))
+            self.rejected += 1
+            _log.warning("settings_rejected", detail=str(error))
             return False
-        if found == self._read:
+        if changed == self._current:
             return False
-        return self._take(found)
+        return self._apply(changed)
 
     async def run(self) -> None:
-        """Looks for ever."""
+        """Checks the file periodically until cancelled."""
         while True:
             self.check()
             await asyncio.sleep(POLL_INTERVAL)
 
-    def _take(self, found: settings.Settings) -> bool:
-        if found.process != self._read.process:
+    def _apply(self, changed: settings.Settings) -> bool:
+        if changed.process != self._current.process:
             _log.warning(
                 "settings_need_restart",
-                detail="[process] changed; restart the process to use it",
+                detail="section [process] changed; restart the process to "
+                "apply it",
             )
             return False
         try:
-            self._on_change(found)
+            self._on_change(changed)
         except errors.UserError as error:
-            self.refused += 1
-            _log.warning("settings_refused", detail=str(error))
+            self.rejected += 1
+            _log.warning("settings_rejected", detail=str(error))
             return False
-        self._read = found
-        _log.info("settings_in_force")
+        self._current = changed
+        _log.info("settings_applied")
         return True
--- a/forklift/shell/store_follower.py
+++ b/forklift/shell/store_follower.py
@@ -1,4 +1,4 @@
-"""Follows the platform's store: the configuration, and who may be joined."""
+"""Follows the platform's store: the configuration and the fleet's members."""
 
 import asyncio
 import contextlib
@@ -13,132 +13,135 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds that one read waits for a change in the mean: long, as each call is
-# paid for, but a read on a connection that fell silent notices only when it
-# ends. So few processes wait less than many: where all connections fall silent
-# at once, one of them begins a new read each 0.3 s and has the next version for
-# all.
+# Mean duration of a long poll for a new configuration, in seconds. Every call
+# has a cost, so polls are long. A poll on a silently broken connection finds
+# out only when it ends: fewer readers poll more often, so that one of them
+# starts a new poll every WAIT_PER_PROCESS seconds and tells the others.
 MAX_WAIT = 9.0
 MIN_WAIT = 1.0
 WAIT_PER_PROCESS = 0.3
-# Part by which a wait is drawn longer or shorter, so that reads don't end at
-# once.
+# Relative jitter of a poll's duration, so that the polls don't end together.
 WAIT_JITTER = 1 / 3
-# The least part of it that is waited after a version, which all processes read
-# at once: their next reads end spread over the whole wait.
+# A new version ends the polls of all readers at once. To spread the next ones,
+# each reader shortens its poll to a random fraction, at least this one.
 MIN_WAIT_FRACTION = 0.02
-# Seconds between two looks of a process that does not wait at the store, in the
-# mean: it is told by peers, and this is for what no peer can tell it.
+# Mean seconds between two reads of a process that is not a reader. Peers tell
+# it of new versions; this covers what no peer can tell.
 REFRESH_INTERVAL = 60.0
-# Seconds between two reads that are given up since a peer had a version first.
+# Minimum seconds between two polls that are restarted because a peer had a
+# newer version.
 RESTART_INTERVAL = 4.0
-# First pause after a failure, and the longest, seconds.
+# Backoff after a failed call, in seconds.
 INITIAL_BACKOFF = 0.2
 MAX_BACKOFF = 0.8
-# Seconds within which all announce themselves again where the store lost their
-# records: two calls of each process, at a part of the rate that it takes.
+# Seconds over which the processes spread their announcements after the store
+# lost them, so that they stay below the store's rate limit.
 REANNOUNCE_WINDOW = 0.5
 REANNOUNCE_WINDOW_PER_PROCESS = 0.01
-# Seconds between two meetings at most: half of the time after which processes
-# forget each other, at two calls each.
+# Maximum seconds between two announcements of a process: half the time after
+# which processes forget each other.
 ANNOUNCE_INTERVAL = 300.0
 
 
 class Backoff:
-    """Pauses between failed calls, which grow."""
+    """Exponential backoff with jitter between failed calls."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
         self._failures = 0
 
     def reset(self) -> None:
-        """A call was answered."""
+        """Resets the delay after a successful call."""
         self._failures = 0
 
     async def wait(self) -> None:
-        """Waits after a failed call."""
+        """Sleeps after a failed call."""
         longest = min(MAX_BACKOFF, INITIAL_BACKOFF * 2**self._failures)
         self._failures += 1
         await asyncio.sleep(longest * (0.5 + self._rng.random() / 2))
 
 
 class StoreFollower:
-    """Reads the configuration from the store for ever."""
+    """Reads each new configuration from the store.
+
+    Attributes:
+        unavailable: Whether the store did not answer the last call.
+    """
 
     def __init__(
         self,
         registry: interfaces.Registry,
         rng: random.Random,
         on_record: Callable[[bytes], None],
-        processes: Callable[[], int] = lambda: 1,
-        waits: Callable[[], bool] = lambda: True,
+        reader_count: Callable[[], int] = lambda: 1,
+        is_reader: Callable[[], bool] = lambda: True,
     ):
-        """Makes a follower.
+        """Creates a follower that has read nothing.
 
         Args:
             registry: The store.
-            rng: Draws waits and pauses.
-            on_record: Takes each record.
-            processes: How many processes wait at the store, as far as known.
-            waits: Whether this process is one of them.
+            rng: Random numbers for the jitter.
+            on_record: Called with each configuration record.
+            reader_count: Returns the number of processes that poll the store,
+                as far as known.
+            is_reader: Returns whether this process is one of them.
         """
         self._registry = registry
         self._rng = rng
         self._on_record = on_record
-        self._processes = processes
-        self._is_reader = waits
-        # Set while this process is one that waits at the store.
-        self._waiting = asyncio.Event()
-        self._pause = Backoff(rng)
+        self._reader_count = reader_count
+        self._is_reader = is_reader
+        # Wakes a process that is not a reader: it must read now.
+        self._read_now = asyncio.Event()
+        self._backoff = Backoff(rng)
         self._restart_requested = asyncio.Event()
         self._restarted_at = -math.inf
-        # Whether the last read ended by a version, as those of all others did.
-        self._in_step = False
-        # Whether the store did not answer the last call.
+        # Whether a new version ended the last poll, as it did for all readers.
+        self._ended_by_version = False
         self.unavailable = False
 
     async def run(self) -> None:
-        """Reads for ever."""
+        """Reads the configuration until cancelled."""
         position: int | None = None
         while True:
             if position is not None and not self._is_reader():
-                await self._rest()
+                await self._wait_to_read()
                 position = None
             try:
-                found = await self._read_until_restart(position)
+                result = await self._read_until_restart(position)
             except errors.RegistryGap as error:
                 _log.info("store_gap", detail=str(error))
                 position = None
                 continue
             except errors.RegistryUnavailable as error:
-                self._lost(error)
-                await self._pause.wait()
+                self._record_failure(error)
+                await self._backoff.wait()
                 continue
-            self._back()
-            position = found.position
-            self._in_step = found.record is not None
-            if found.record is not None:
-                self._on_record(found.record)
+            self._record_success()
+            position = result.position
+            self._ended_by_version = result.record is not None
+            if result.record is not None:
+                self._on_record(result.record)
 
     def update_role(self) -> None:
-        """Lets this process wait at the store again where that is its part."""
+        """Starts reading if this process has become a reader."""
         if self._is_reader():
-            self._waiting.set()
+            self._read_now.set()
         else:
-            self._waiting.clear()
+            self._read_now.clear()
 
-    async def _rest(self) -> None:
-        """Leaves the store to others until it is this process's part again."""
-        self._waiting.clear()
+    async def _wait_to_read(self) -> None:
+        """Waits until this process is a reader, or the next refresh is due."""
+        self._read_now.clear()
         seconds = REFRESH_INTERVAL * self._rng.uniform(0.5, 1.5)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._waiting.wait(), seconds)
+            await asyncio.wait_for(self._read_now.wait(), seconds)
 
     def on_newer_from_peer(self, now: float) -> None:
-        """A peer brought a version that the store has not told.
+        """Restarts the poll because a peer sent a version before the store.
 
-        The read that waits may hang on a connection that fell silent, which
-        nothing else shows before its time is over.
+        The poll may be on a silently broken connection, which would otherwise
+        go unnoticed until its end.
 
         Args:
             now: Monotonic seconds.
@@ -148,52 +151,62 @@
             self._restart_requested.set()
 
     def restart_read(self) -> None:
-        """What is known of the store may be over: it is read anew at once."""
+        """Reads the store again at once, as it may have lost records."""
         self._restart_requested.set()
-        self._waiting.set()
+        self._read_now.set()
 
     async def _read_until_restart(
         self, position: int | None
     ) -> interfaces.ConfigurationRead:
+        """Reads the next record.
+
+        Raises:
+            errors.RegistryGap: The store no longer has the records at the
+                position.
+            errors.RegistryUnavailable: The store did not answer, or a restart
+                was requested.
+        """
         self._restart_requested.clear()
         read = asyncio.create_task(self._read(position))
-        overtaken = asyncio.create_task(self._restart_requested.wait())
+        restart = asyncio.create_task(self._restart_requested.wait())
         try:
             await asyncio.wait(
-                (read, overtaken), return_when=asyncio.FIRST_COMPLETED
+                (read, restart), return_when=asyncio.FIRST_COMPLETED
             )
             if read.done():
                 return read.result()
-            raise errors.RegistryUnavailable("a peer had a version first")
+            raise errors.RegistryUnavailable(
+                "no answer before a peer sent a newer version or epoch"
+            )
         finally:
             read.cancel()
-            overtaken.cancel()
-            await asyncio.gather(read, overtaken, return_exceptions=True)
+            restart.cancel()
+            await asyncio.gather(read, restart, return_exceptions=True)
 
-    def _wait(self) -> float:
-        """Seconds that the next read waits for a change."""
-        mean = WAIT_PER_PROCESS * self._processes()
+    def _next_wait(self) -> float:
+        """Duration of the next long poll, in seconds."""
+        mean = WAIT_PER_PROCESS * self._reader_count()
         mean = min(MAX_WAIT, max(MIN_WAIT, mean))
         wait = mean * self._rng.uniform(1 - WAIT_JITTER, 1 + WAIT_JITTER)
-        if self._in_step:
+        if self._ended_by_version:
             wait *= self._rng.uniform(MIN_WAIT_FRACTION, 1.0)
         return wait
 
     async def _read(self, position: int | None) -> interfaces.ConfigurationRead:
         if position is None:
             return await self._registry.configuration()
-        wait = self._wait()
+        wait = self._next_wait()
         return await self._registry.next_configuration(position, wait)
 
-    def _lost(self, error: errors.RegistryUnavailable) -> None:
+    def _record_failure(self, error: errors.RegistryUnavailable) -> None:
         if not self.unavailable:
-            _log.warning("store_lost", detail=str(error))
+            _log.warning("store_unavailable", detail=str(error))
         self.unavailable = True
 
-    def _back(self) -> None:
-        self._pause.reset()
+    def _record_success(self) -> None:
+        self._backoff.reset()
         if self.unavailable:
-            _log.info("store_back")
+            _log.info("store_available")
         self.unavailable = False
 
 
@@ -203,26 +216,35 @@
     name: str,
     data: bytes,
     on_members: Callable[[dict[str, bytes]], None],
-    lost: asyncio.Event,
-    processes: Callable[[], int] = lambda: 1,
+    records_lost: asyncio.Event,
+    process_count: Callable[[], int] = lambda: 1,
 ) -> None:
-    """Announces this process and reads who else did, for ever.
+    """Announces this process in the store and reads the members, repeatedly.
+
+    Repeats at ANNOUNCE_INTERVAL, because processes that were partitioned for
+    long have forgotten each other and can find each other only in the store.
+    Repeats sooner, after a random delay, if the store lost records.
 
-    Whoever announces itself later finds this process and makes itself known.
-    It is done again now and then: processes that a long cut kept apart have
-    forgotten each other and would meet nowhere else. It is done soon where the
-    store lost records, but not by all in one moment.
+    Args:
+        registry: The store.
+        rng: Random numbers for the jitter.
+        name: Name of this process.
+        data: Record of this process.
+        on_members: Called with the records of all members, by name.
+        records_lost: Set when the store has lost records.
+        process_count: Returns the number of processes in the fleet.
     """
     while True:
-        lost.clear()
+        records_lost.clear()
         await _join_fleet_once(registry, rng, name, data, on_members)
-        pause = ANNOUNCE_INTERVAL * (0.5 + rng.random() / 2)
+        interval = ANNOUNCE_INTERVAL * (0.5 + rng.random() / 2)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(lost.wait(), pause)
-            spread = (
-                REANNOUNCE_WINDOW + processes() * REANNOUNCE_WINDOW_PER_PROCESS
+            await asyncio.wait_for(records_lost.wait(), interval)
+            window = (
+                REANNOUNCE_WINDOW
+                + process_count() * REANNOUNCE_WINDOW_PER_PROCESS
             )
-            await asyncio.sleep(spread * rng.random())
+            await asyncio.sleep(window * rng.random())
 
 
 async def _join_fleet_once(
@@ -232,7 +254,7 @@
     data: bytes,
     on_members: Callable[[dict[str, bytes]], None],
 ) -> None:
-    pause = Backoff(rng)
+    backoff = Backoff(rng)
     announced = False
     while True:
         try:
@@ -242,5 +264,5 @@
             on_members(await registry.members())
             return
         except errors.RegistryUnavailable as error:
-            _log.info("meeting_failed", detail=str(error))
-            await pause.wait()
+            _log.info("join_failed", detail=str(error))
+            await backoff.wait()
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -258,7 +258,7 @@
         for count in (0, 40):
             for number in range(count):
                 one.directory.apply_direct(helper.info(f"other-{number}"), 0.0)
-            waits.append(max(one.follower._wait() for _ in range(20)))
+            waits.append(max(one.follower._next_wait() for _ in range(20)))
         assert waits[0] < store_follower.MAX_WAIT / 2 < waits[1]
 
     processes.play(work, [[]])
--- a/test/test_quarantine_store.py
+++ b/test/test_quarantine_store.py
@@ -1,4 +1,4 @@
-"""Requests that are held back, past the end of all processes."""
+"""Evidence on quarantined requests survives the end of all processes."""
 
 import asyncio
 import random
@@ -11,12 +11,12 @@
 from forklift.shell import store_follower
 from test import helper
 
-DEADLY = b"deadly"
+CRASHING = b"deadly"
 NAMES = ("p0", "p1", "p2")
 
 
 class Store:
-    """A store that fails a few times, then keeps the newest of each name."""
+    """Fails a few writes, then keeps the newest record of each name."""
 
     def __init__(self, failures: int = 0):
         self.failures = failures
@@ -32,7 +32,7 @@
 
 
 class Process:
-    """The part of a process that keeps requests."""
+    """A process reduced to its quarantine and quarantine store."""
 
     def __init__(self, name: str, store: Store, clock: helper.FakeClock):
         self.clock = clock
@@ -49,17 +49,17 @@
             lambda: others,
         )
 
-    def hold(self) -> None:
-        """Two targets crash that ran nothing but the request."""
+    def quarantine_request(self) -> None:
+        """Records crashes of two targets that ran only the request."""
         for number in (1, 2):
-            self.quarantine.record_crash({DEADLY}, number, self.clock.now)
+            self.quarantine.record_crash({CRASHING}, number, self.clock.now)
 
-    async def done(self) -> None:
+    async def wait_for_writes(self) -> None:
         await asyncio.gather(*self.tasks)
 
 
-def held(process: Process) -> float:
-    return process.quarantine.quarantined_for(DEADLY, process.clock.now)
+def quarantined_for(process: Process) -> float:
+    return process.quarantine.quarantined_for(CRASHING, process.clock.now)
 
 
 def play(work, monkeypatch, failures: int = 0) -> None:
@@ -72,79 +72,83 @@
     helper.run(run())
 
 
-def test_who_saw_the_crash_writes_until_the_store_has_it(monkeypatch):
+def test_write_after_a_crash_is_retried_until_the_store_answers(monkeypatch):
     async def work(store, processes):
-        first, later = processes[:2]
-        first.hold()
+        first, second = processes[:2]
+        first.quarantine_request()
         first.quarantine_store.save()
-        await first.done()
+        await first.wait_for_writes()
         ((name, data),) = store.data_by_name.items()
-        later.clock.now += 100.0
-        later.quarantine_store.load(name, data)
+        second.clock.now += 100.0
+        second.quarantine_store.load(name, data)
         assert (
-            held(later) == held(first) == quarantines.QUARANTINE_SECONDS - 100.0
+            quarantined_for(second)
+            == quarantined_for(first)
+            == quarantines.QUARANTINE_SECONDS - 100.0
         )
 
     play(work, monkeypatch, failures=3)
 
 
-def test_one_process_writes_what_its_finder_could_not(monkeypatch):
-    """It ended before; the others had heard of it."""
+def test_exactly_one_process_writes_evidence_that_has_no_record(monkeypatch):
+    """The process that saw the crash may end before it writes the record."""
 
     async def work(store, processes):
         for one in processes:
-            one.hold()
+            one.quarantine_request()
             for _ in range(5):
                 one.quarantine_store.tick()
-            await one.done()
+            await one.wait_for_writes()
         assert store.writes == 1
 
     play(work, monkeypatch)
 
 
-def test_what_was_read_is_not_written_again(monkeypatch):
+def test_loaded_record_is_not_written_again(monkeypatch):
     async def work(store, processes):
-        processes[0].hold()
+        processes[0].quarantine_request()
         processes[0].quarantine_store.save()
-        await processes[0].done()
+        await processes[0].wait_for_writes()
         ((name, data),) = store.data_by_name.items()
         for one in processes[1:]:
             one.quarantine_store.load(name, data)
             one.quarantine_store.tick()
-            await one.done()
+            await one.wait_for_writes()
         assert store.writes == 1
 
     play(work, monkeypatch)
 
 
-def test_the_record_of_one_that_is_released_is_dropped(monkeypatch):
+def test_record_is_deleted_when_the_quarantine_ends(monkeypatch):
     async def work(store, processes):
         for one in processes:
-            one.hold()
+            one.quarantine_request()
             one.quarantine_store.tick()
         for one in processes:
             one.clock.now += quarantines.QUARANTINE_SECONDS / len(processes)
         for one in processes:
             one.quarantine_store.tick()
-            await one.done()
+            await one.wait_for_writes()
         assert list(store.data_by_name.values()) == [b""]
 
     play(work, monkeypatch)
 
 
-def test_a_record_of_another_writer_holds_nothing_back(monkeypatch):
+def test_malformed_record_is_counted_and_ignored(monkeypatch):
     async def work(store, processes):
         one = processes[0]
         before = invalid_input.count_by_source[invalid_input.Source.MEMBER]
-        far = messages.Evidence(
-            DEADLY, (messages.Crash(1, float("nan"), True, False),)
+        evidence = messages.Evidence(
+            CRASHING, (messages.Crash(1, float("nan"), True, False),)
         )
-        strange = messages.encode(messages.StoredEvidence(float("inf"), far))
-        for data in (b"", b"\xff", b"{}", strange):
+        not_finite = messages.encode(
+            messages.StoredEvidence(float("inf"), evidence)
+        )
+        for data in (b"", b"\xff", b"{}", not_finite):
             one.quarantine_store.load(
                 quarantine_store.RECORD_PREFIX + "x", data
             )
-        assert not held(one)
+        assert not quarantined_for(one)
         after = invalid_input.count_by_source[invalid_input.Source.MEMBER]
         assert after == before + 4
 
