--- a/forklift/shell/logs.py
+++ b/forklift/shell/logs.py
@@ -1,8 +1,8 @@
-"""JSON lines on standard output: bounded, and never in the way of requests.
+"""Structured logging as JSON lines on standard output.
 
-Lines go to a small buffer that the loop empties into a pipe without blocking.
-What is more than the budget of lines a second, or than the buffer holds, is
-left out and counted by event; failures have a part of the budget of their own.
+Logging never blocks the event loop and is limited to a number of lines per
+second, with a separate limit for warnings and errors. Lines above the limit,
+or for which the output buffer has no room, are dropped and counted by event.
 """
 
 import collections
@@ -11,103 +11,124 @@
 
 import structlog
 
-# Lines a second that a process writes at most, and the part of warnings.
+# Limit of lines below the level of warnings.
 MAX_LINES_PER_SECOND = 50
+# Limit of warnings and errors.
 MAX_WARNINGS_PER_SECOND = 50
-# Bytes that wait for a slow reader.
+# Output buffered while the pipe is full, in bytes.
 MAX_BUFFERED_BYTES = 262_144
-_WARNINGS = ("warning", "error", "critical")
+_WARNING_METHODS = ("warning", "error", "critical")
 
 dropped_by_event: collections.Counter[str] = collections.Counter()
 
 
 class FixedWindowLimiter:
-    """Lines that may still be written in this second.
+    """Limits the number of log lines in each second.
 
     >>> limiter = FixedWindowLimiter(1)
     >>> limiter.try_take(5.0), limiter.try_take(5.5), limiter.try_take(6.0)
     (True, False, True)
     """
 
-    def __init__(self, lines: int):
-        self._lines = lines
+    def __init__(self, limit: int):
+        self._limit = limit
         self._second = -1
         self._used = 0
 
     def try_take(self, now: float) -> bool:
-        """Takes one line; False where none is left in this second."""
+        """Counts one line; returns False if the limit is reached.
+
+        Args:
+            now: Monotonic time, seconds.
+        """
         if int(now) != self._second:
             self._second = int(now)
             self._used = 0
-        if self._used >= self._lines:
+        if self._used >= self._limit:
             return False
         self._used += 1
         return True
 
 
 class NonBlockingWriter:
-    """A bounded buffer before a pipe that may be full."""
+    """Logger that writes lines to a pipe without blocking.
+
+    Lines are buffered while the pipe is full. A buffer that exceeds
+    `MAX_BUFFERED_BYTES` is discarded.
+    """
 
-    def __init__(self, descriptor: int):
-        self._descriptor = descriptor
-        self._waiting = bytearray()
-        os.set_blocking(descriptor, False)
+    def __init__(self, fd: int):
+        self._fd = fd
+        self._buffer = bytearray()
+        os.set_blocking(fd, False)
 
     def msg(self, line: str) -> None:
-        """Writes a line, or keeps it for later; never blocks."""
-        self._waiting += line.encode("utf-8", "replace") + b"\n"
+        """Writes a line, or buffers it if the pipe is full."""
+        self._buffer += line.encode("utf-8", "replace") + b"\n"
         self.flush()
-        if len(self._waiting) > MAX_BUFFERED_BYTES:
-            lost = self._waiting.count(b"\n")
-            dropped_by_event["(reader too slow)"] += lost
-            self._waiting.clear()
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
+            dropped = self._buffer.count(b"\n")
+            dropped_by_event["(reader too slow)"] += dropped
+            self._buffer.clear()
 
     log = debug = info = warning = warn = msg
     error = exception = critical = fatal = msg
 
     def flush(self) -> None:
-        """Writes what the reader takes now."""
+        """Writes as much of the buffer as the pipe accepts."""
         try:
-            while self._waiting:
-                written = os.write(self._descriptor, self._waiting)
-                del self._waiting[:written]
+            while self._buffer:
+                written = os.write(self._fd, self._buffer)
+                del self._buffer[:written]
         except BlockingIOError:
-            # The rest goes with the next line.
+            # The rest is written with the next line.
             return
         except OSError:
-            # Nobody reads any more, and there is nowhere else to say so.
+            # The pipe is closed; there is no other place to report errors.
             dropped_by_event["(no reader)"] += 1
-            self._waiting.clear()
+            self._buffer.clear()
 
 
-class _Bound:
-    """Leaves lines out beyond the budget, and says how many."""
+class _RateLimitProcessor:
+    """Structlog processor that drops lines above the rate limits.
+
+    The next line that is written reports the number of dropped lines by event
+    in its field `left_out`.
+    """
 
     def __init__(self):
-        self._plain = FixedWindowLimiter(MAX_LINES_PER_SECOND)
-        self._warnings = FixedWindowLimiter(MAX_WARNINGS_PER_SECOND)
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._line_limiter = FixedWindowLimiter(MAX_LINES_PER_SECOND)
+        self._warning_limiter = FixedWindowLimiter(MAX_WARNINGS_PER_SECOND)
+        self._dropped: collections.Counter[str] = collections.Counter()
 
     def __call__(self, logger, method: str, event: dict) -> dict:
         now = time.monotonic()
-        limiter = self._warnings if method in _WARNINGS else self._plain
+        limiter = (
+            self._warning_limiter
+            if method in _WARNING_METHODS
+            else self._line_limiter
+        )
         if not limiter.try_take(now):
             name = str(event.get("event"))
-            self._left_out[name] += 1
+            self._dropped[name] += 1
             dropped_by_event[name] += 1
             raise structlog.DropEvent
-        if self._left_out:
-            event["left_out"] = dict(self._left_out)
-            self._left_out.clear()
+        if self._dropped:
+            event["left_out"] = dict(self._dropped)
+            self._dropped.clear()
         return event
 
 
 def configure(level: int) -> NonBlockingWriter:
-    """Sends log lines to standard output as JSON."""
+    """Configures structlog to write JSON lines to standard output.
+
+    Args:
+        level: Lowest level that is logged, a constant of `logging`.
+    """
     writer = NonBlockingWriter(1)
     structlog.configure(
         processors=[
-            _Bound(),
+            _RateLimitProcessor(),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.format_exc_info,
--- a/test/test_logs.py
+++ b/test/test_logs.py
@@ -1,11 +1,11 @@
-"""Log lines: bounded, never in the way."""
+"""Log output never blocks the process."""
 
 import os
 
 from forklift.shell import logs
 
 
-def test_a_reader_that_stops_reading_loses_lines_and_blocks_nothing():
+def test_lines_are_dropped_without_blocking_when_the_reader_stops_reading():
     reader, pipe = os.pipe()
     writer = logs.NonBlockingWriter(pipe)
     before = logs.dropped_by_event.total()
