--- a/forklift/ui/__init__.py
+++ b/forklift/ui/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module for each command."""
+"""Command-line interface, with one module per command."""
 
 import importlib
 import sys
@@ -8,8 +8,8 @@
 import forklift
 from forklift import errors
 
-# Each has a module of its name here, loaded once it is asked for: a process
-# that starts need not load what operators call.
+# Each command is a module of this package, imported only when it is invoked,
+# so that `run` does not load the modules of the other commands.
 COMMANDS = ("check", "drain", "explain", "publish", "run", "state", "status")
 EXIT_INVALID_INPUT = 2
 EPILOG = """\b
@@ -21,36 +21,36 @@
   forklift explain 9c41d07be2a35f68 almadies-*.log
 
 \b
-Exit codes: 0 done; 1 refused or not reached; 2 a mistake in a file, an
-option or an argument; 3 another publication won.
+Exit codes: 0 success; 1 request rejected or no response; 2 invalid file,
+option or argument; 3 another configuration was published concurrently.
 """
 
 
-class _Commands(click.Group):
-    """Loads a command when it is asked for."""
+class _LazyGroup(click.Group):
+    """Command group that imports a command when it is invoked."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Names of the commands."""
+        """Lists the names of all commands."""
         return list(COMMANDS)
 
     def get_command(
         self, ctx: click.Context, cmd_name: str
     ) -> click.Command | None:
-        """The command of a name; None where there is none."""
+        """Imports the command with the given name; None if it is unknown."""
         if cmd_name not in COMMANDS:
             return None
         module = importlib.import_module(f"{__name__}.{cmd_name}")
         return module.command
 
 
-@click.group(cls=_Commands, epilog=EPILOG)
+@click.group(cls=_LazyGroup, epilog=EPILOG)
 @click.version_option(forklift.VERSION, prog_name="forklift")
 def cli() -> None:
     """A proxy fleet for targets with gray failures."""
 
 
 def main() -> None:
-    """Runs the program; a mistake of the operator is shown as one line."""
+    """Runs the command line; prints operator errors without a traceback."""
     try:
         cli(standalone_mode=False)
     except errors.FileProblems as error:
--- a/forklift/ui/admin_client.py
+++ b/forklift/ui/admin_client.py
@@ -1,4 +1,4 @@
-"""What commands share: asking a process, options, output."""
+"""Client of the admin interface, and options that commands share."""
 
 import asyncio
 import os
@@ -21,55 +21,71 @@
     help="Admin address of any process of the fleet.",
 )
 json_option = click.option(
-    "--json", "as_json", is_flag=True, help="Print JSON for programs."
+    "--json", "as_json", is_flag=True, help="Print JSON."
 )
 MIN_ERROR_STATUS = 400
+# Seconds.
 REQUEST_TIMEOUT = 15.0
 
 
 def send_request(
-    admin: str, method: str, path: str, kind: type[ResponseT], body: bytes = b""
+    admin: str,
+    method: str,
+    path: str,
+    response_type: type[ResponseT],
+    body: bytes = b"",
 ) -> ResponseT:
-    """Asks a process and decodes its answer.
+    """Sends a request to the admin interface and decodes the response.
 
-    The shared key is taken from the environment variable FORKLIFT_KEY.
+    The key is read from the environment variable FORKLIFT_KEY.
+
+    Args:
+        admin: Address of the admin interface, ip:port.
+        method: HTTP method.
+        path: Path of the request.
+        response_type: Type that the JSON body of the response is decoded to.
+        body: Body of the request.
 
     Raises:
-        errors.UserError: It can't be reached, or it refuses.
+        errors.UserError: The process does not respond or rejects the request.
     """
-    return asyncio.run(_send_request(admin, method, path, kind, body))
+    return asyncio.run(_send_request(admin, method, path, response_type, body))
 
 
 async def _send_request(
-    admin: str, method: str, path: str, kind: type[ResponseT], body: bytes
+    admin: str,
+    method: str,
+    path: str,
+    response_type: type[ResponseT],
+    body: bytes,
 ) -> ResponseT:
-    # Commands that ask nobody, `run` above all, need not load it.
+    # Imported here because `run` must not load the HTTP client at its start.
     from forklift.shell import client  # noqa: PLC0415
 
     key = os.environ.get("FORKLIFT_KEY", "")
     headers = (("authorization", f"Bearer {key}"),) if key else ()
-    asker = client.Client(admin)
+    http_client = client.Client(admin)
     try:
-        response = await asker.request(
+        response = await http_client.request(
             method, path, body, headers, timeout=REQUEST_TIMEOUT
         )
     except (client.RequestFailed, ValueError) as error:
         raise errors.UserError(
-            f"{admin} does not answer ({error}); give the admin address of a "
+            f"{admin} does not respond ({error}); pass the admin address of a "
             "running process with --admin"
         ) from error
     finally:
-        asker.close()
+        http_client.close()
     if response.status >= MIN_ERROR_STATUS:
-        raise errors.UserError(_problem(response.body))
-    return msgspec.json.decode(response.body, type=kind)
+        raise errors.UserError(_error_message(response.body))
+    return msgspec.json.decode(response.body, type=response_type)
 
 
-def _problem(body: bytes) -> str:
+def _error_message(body: bytes) -> str:
     try:
         return msgspec.json.decode(body, type=report.Problem).error
     except msgspec.MsgspecError:
-        return "the process refused; look at its log"
+        return "the process rejected the request; see its log"
 
 
 def print_json(value: object) -> None:
@@ -79,10 +95,14 @@
 
 
 def find_target_admin(admin: str, name: str) -> str:
-    """Admin address of the process beside a target.
+    """Returns the admin address of the process that owns a target.
+
+    Args:
+        admin: Admin address of any process of the fleet, ip:port.
+        name: Name of the target.
 
     Raises:
-        errors.UserError: It is not known.
+        errors.UserError: The target is unknown.
     """
     status = send_request(admin, "GET", "/status", report.Status)
     admin_by_process = {p.name: p.admin for p in status.processes}
@@ -90,4 +110,6 @@
         if target.name == name:
             return admin_by_process.get(target.process, admin)
     known = ", ".join(sorted(target.name for target in status.targets)[:20])
-    raise errors.UserError(f"no target {name}; known are {known or 'none'}")
+    raise errors.UserError(
+        f"no target {name}; known targets: {known or 'none'}"
+    )
--- a/forklift/ui/check.py
+++ b/forklift/ui/check.py
@@ -1,4 +1,4 @@
-"""`forklift check`: finds every mistake in a file before it is used."""
+"""`forklift check`: validates a file and reports all of its errors."""
 
 import configparser
 
@@ -8,7 +8,7 @@
 from forklift import policy
 from forklift import settings
 
-_RECORD = ".json"
+_CONFIGURATION_SUFFIX = ".json"
 
 
 @click.command("check")
@@ -16,20 +16,21 @@
 def command(file: str) -> None:
     """Check a settings or policy file (.ini), or a configuration (.json).
 
-    Each mistake is printed on its own line; the exit code is then 2.
+    Prints each error on a line of its own and exits with code 2 if there are
+    any.
     """
     content = settings.read_file(file)
-    if file.endswith(_RECORD):
-        _check_record(file, content)
+    if file.endswith(_CONFIGURATION_SUFFIX):
+        _check_configuration(file, content)
     elif _is_policy(content):
         policy.parse(file, content)
     else:
         settings.parse(file, content)
-    click.echo(f"{file}: no mistakes")
+    click.echo(f"{file}: no errors")
 
 
-def _check_record(file: str, content: str) -> None:
-    # Only this kind of file needs the platform's formats.
+def _check_configuration(file: str, content: str) -> None:
+    # Imported here because other files don't need the platform's formats.
     from forklift.platform import configuration  # noqa: PLC0415
 
     try:
--- a/forklift/ui/drain.py
+++ b/forklift/ui/drain.py
@@ -1,4 +1,4 @@
-"""`forklift drain`: takes a target, or a whole process, out as planned."""
+"""`forklift drain`: drains a target or shuts down a process gracefully."""
 
 import click
 
@@ -10,24 +10,27 @@
 @click.argument("target", required=False)
 @click.option(
     "--all",
-    "everything",
+    "whole_process",
     is_flag=True,
-    help="Stop the process at --admin as planned, with all its targets.",
+    help="Drain all targets of the process at --admin and shut it down.",
 )
 @admin_client.admin_option
-def command(target: str | None, everything: bool, admin: str) -> None:
-    """Drain TARGET: it takes no new request, those in flight end."""
-    if everything == bool(target):
-        raise click.UsageError("give a TARGET, or --all; not both")
-    if everything:
+def command(target: str | None, whole_process: bool, admin: str) -> None:
+    """Drain TARGET: it accepts no new requests and completes running ones."""
+    if whole_process == bool(target):
+        raise click.UsageError("pass either a TARGET or --all")
+    if whole_process:
         status = admin_client.send_request(
             admin, "POST", "/drain", report.Status
         )
-        click.echo(f"process {status.process} stops as planned")
+        click.echo(f"process {status.process} is shutting down")
         return
-    beside = admin_client.find_target_admin(admin, target)
+    owner_admin = admin_client.find_target_admin(admin, target)
     path = f"/targets/{target}/drain"
     drained = admin_client.send_request(
-        beside, "POST", path, report.TargetExplanation
+        owner_admin, "POST", path, report.TargetExplanation
+    )
+    click.echo(
+        f"target {target} is {drained.state}, "
+        f"{drained.running} requests running"
     )
-    click.echo(f"target {target} is {drained.state}, {drained.running} running")
--- a/forklift/ui/explain.py
+++ b/forklift/ui/explain.py
@@ -1,4 +1,4 @@
-"""`forklift explain`: why a request failed, or a target stands as it does."""
+"""`forklift explain`: explains a request's outcome or a target's state."""
 
 import datetime
 
@@ -16,56 +16,59 @@
 @admin_client.admin_option
 @admin_client.json_option
 def command(name: str, logs: tuple, admin: str, as_json: bool) -> None:
-    """Tell the story of a request or a target.
+    """Explain the outcome of a request or the state of a target.
 
-    With LOGS, files of log lines of any number of processes (- is standard
-    input), the story is told from them. Without, the process beside TARGET is
-    asked for its recent doubts.
+    With LOGS, the log files of any number of processes (- is standard input),
+    the request or target is traced through them. Without, the process that
+    owns TARGET reports its state and its recent ejections.
     """
     if logs:
-        _from_logs(name, logs)
+        _print_trace(name, logs)
         return
-    beside = admin_client.find_target_admin(admin, name)
+    owner_admin = admin_client.find_target_admin(admin, name)
     path = f"/explain/{name}"
-    told = admin_client.send_request(
-        beside, "GET", path, report.TargetExplanation
+    explanation = admin_client.send_request(
+        owner_admin, "GET", path, report.TargetExplanation
     )
     if as_json:
-        admin_client.print_json(told)
+        admin_client.print_json(explanation)
     else:
-        _show(told)
+        _print_explanation(explanation)
 
 
-def _from_logs(name: str, logs: tuple) -> None:
+def _print_trace(name: str, logs: tuple) -> None:
     lines = log_trace.parse(line for log in logs for line in log)
-    told = log_trace.trace_request(lines, name) or log_trace.trace_target(
+    output = log_trace.trace_request(lines, name) or log_trace.trace_target(
         lines, name
     )
-    if not told:
+    if not output:
         raise errors.UserError(
-            f"no line names {name}; give the logs of all processes "
+            f"no log line mentions {name}; pass the logs of all processes "
             "from that time"
         )
-    for line in told:
+    for line in output:
         click.echo(line)
 
 
-def _show(told: report.TargetExplanation) -> None:
+def _print_explanation(explanation: report.TargetExplanation) -> None:
     click.echo(
-        f"{told.target} of {told.service}, beside {told.process}: {told.state}"
+        f"{explanation.target} of {explanation.service}, "
+        f"owned by {explanation.process}: {explanation.state}"
     )
     click.echo(
-        f"  {told.running} of {told.slots} slots in use, {told.waiting} "
-        f"waiting; in a bad phase with probability {told.risk:g}"
+        f"  {explanation.running} of {explanation.slots} slots in use, "
+        f"{explanation.waiting} waiting; "
+        f"unhealthy with probability {explanation.risk:g}"
     )
-    click.echo(f"  a request last began {told.idle:g} s ago")
-    for route, seconds in told.latency_by_route.items():
-        click.echo(f"  {route} usually takes {seconds * 1000:.0f} ms")
-    for reason, count in told.refusals.items():
-        click.echo(f"  refused {count} as {reason}")
-    for change in told.changes:
+    click.echo(f"  last request started {explanation.idle:g} s ago")
+    for route, seconds in explanation.latency_by_route.items():
+        click.echo(f"  {route} has a median latency of {seconds * 1000:.0f} ms")
+    for reason, count in explanation.refusals.items():
+        click.echo(f"  rejected {count} requests: {reason}")
+    for change in explanation.changes:
         at = datetime.datetime.fromtimestamp(change.at)
-        word = "doubted" if change.doubted else "trusted again"
+        action = "ejected" if change.doubted else "reinstated"
         click.echo(
-            f"  {at:%H:%M:%S.%f} {word}: {change.sign}, risk {change.risk:g}"
+            f"  {at:%H:%M:%S.%f} {action}: {change.sign}, "
+            f"unhealthy with probability {change.risk:g}"
         )
--- a/forklift/ui/publish.py
+++ b/forklift/ui/publish.py
@@ -1,4 +1,4 @@
-"""`forklift publish`: puts a configuration in force."""
+"""`forklift publish`: writes a configuration to the store."""
 
 import asyncio
 
@@ -12,12 +12,14 @@
 @click.command("publish")
 @click.argument("file", type=click.File("rb"), metavar="RECORD.json")
 @click.option("--store", required=True, help="Address of the store, ip:port.")
-@click.option("--dry-run", is_flag=True, help="Only check and compare.")
+@click.option(
+    "--dry-run", is_flag=True, help="Validate and compare versions only."
+)
 def command(file, store: str, dry_run: bool) -> None:
     """Write the configuration in RECORD.json to the store.
 
-    It is written only if nobody wrote another one meanwhile; the exit code is
-    3 where somebody did.
+    Exits with code 3 and writes nothing if the store holds the same or a newer
+    version, or if another configuration is published concurrently.
     """
     try:
         click.echo(asyncio.run(_publish(file.read(), store, dry_run)))
@@ -27,31 +29,31 @@
 
 
 async def _publish(data: bytes, address: str, dry_run: bool) -> str:
-    # Commands that publish nothing need not load it.
+    # Imported here because other commands don't need the store.
     from forklift.platform import store  # noqa: PLC0415
 
-    wanted = _decoded(store.decode, data)
+    configuration = _decode(store.decode, data)
     registry = store.Store(address)
     try:
-        found = await registry.configuration()
-        before = 0
-        if found.record is not None:
-            before = store.decode(found.record).version
-        if wanted.version <= before:
-            raise errors.PublishConflict(before)
-        line = f"version {before} -> {wanted.version}"
+        current = await registry.configuration()
+        current_version = 0
+        if current.record is not None:
+            current_version = store.decode(current.record).version
+        if configuration.version <= current_version:
+            raise errors.PublishConflict(current_version)
+        change = f"version {current_version} -> {configuration.version}"
         if dry_run:
-            return f"{line}: not written"
-        if not await registry.publish(data, found.position):
-            raise errors.PublishConflict(before)
-        return f"{line}: in force within seconds"
+            return f"{change}: not written"
+        if not await registry.publish(data, current.position):
+            raise errors.PublishConflict(current_version)
+        return f"{change}: in force within seconds"
     except errors.RegistryUnavailable as error:
         raise errors.UserError(str(error)) from error
     finally:
         registry.close()
 
 
-def _decoded(decode, data: bytes):
+def _decode(decode, data: bytes):
     try:
         return decode(data)
     except errors.ForkliftError as error:
--- a/forklift/ui/run.py
+++ b/forklift/ui/run.py
@@ -9,20 +9,20 @@
 
 from forklift import settings
 
-# Loaded wherever they are installed: rich by structlog, for lines in colour, a
-# fifth of the processor time of a start, while lines here are JSON; ssl by
-# asyncio, a fifteenth, while connections here are plain.
+# Optional dependencies of libraries that are slow to import and not needed:
+# structlog uses rich for coloured output, but log lines are JSON; asyncio uses
+# ssl, but connections are not encrypted.
 UNUSED_MODULES = ("rich", "ssl")
 
 
 @click.command("run")
 @click.argument("file", metavar="SETTINGS.ini")
-@click.option("--verbose", is_flag=True, help="Log more.")
+@click.option("--verbose", is_flag=True, help="Log debug messages.")
 def command(file: str, verbose: bool) -> None:
     """Run one process with the settings in SETTINGS.ini.
 
-    SIGTERM stops it as planned: no request in flight is cut off. SIGHUP reads
-    the settings again.
+    SIGTERM shuts the process down gracefully: requests in flight complete.
+    SIGHUP reloads the settings.
     """
     _import_libraries()
     import asyncio  # noqa: PLC0415
@@ -31,28 +31,27 @@
     from forklift.shell import logs  # noqa: PLC0415
     from forklift.shell import serve  # noqa: PLC0415
 
-    # A crash in a library's own code leaves at least the line it came from.
+    # Prints a traceback if native code of a library crashes.
     faulthandler.enable()
-    read = settings.load(file)
+    process_settings = settings.load(file)
     logs.configure(logging.DEBUG if verbose else logging.INFO)
     with asyncio.Runner(loop_factory=clock.Loop) as runner:
-        runner.run(serve.serve(read, file))
+        runner.run(serve.serve(process_settings, file))
 
 
 def _import_libraries() -> None:
-    """Has what serves load without what a start need not pay for.
+    """Imports libraries without their unused dependencies.
 
-    What is loaded lives for ever, so looking for garbage among it is in vain: a
-    tenth of the processor time of a start. It is looked for again once the
-    process serves.
+    Disables garbage collection during startup, as imported modules are never
+    freed; `serve` enables it again.
     """
     gc.disable()
-    absent = [name for name in UNUSED_MODULES if name not in sys.modules]
-    # The libraries take them for not installed.
-    sys.modules.update(dict.fromkeys(absent))
+    hidden = [name for name in UNUSED_MODULES if name not in sys.modules]
+    # An entry of None makes the import fail as if it were not installed.
+    sys.modules.update(dict.fromkeys(hidden))
     import asyncio  # noqa: F401, PLC0415
 
     import structlog  # noqa: F401, PLC0415
 
-    for name in absent:
+    for name in hidden:
         del sys.modules[name]
--- a/forklift/ui/state.py
+++ b/forklift/ui/state.py
@@ -1,4 +1,4 @@
-"""`forklift state`: the full dump of one process."""
+"""`forklift state`: prints the complete state of one process."""
 
 import click
 
@@ -9,7 +9,7 @@
 @click.command("state")
 @admin_client.admin_option
 def command(admin: str) -> None:
-    """Print the full state of one process as JSON."""
+    """Print the complete state of one process as JSON."""
     admin_client.print_json(
         admin_client.send_request(admin, "GET", "/state", report.StateDump)
     )
--- a/forklift/ui/status.py
+++ b/forklift/ui/status.py
@@ -1,4 +1,4 @@
-"""`forklift status`: the fleet as one process sees it."""
+"""`forklift status`: prints the fleet as seen by one process."""
 
 import time
 
@@ -7,15 +7,16 @@
 from forklift import report
 from forklift.ui import admin_client
 
+# Seconds.
 WATCH_INTERVAL = 1.0
 
 
 @click.command("status")
 @admin_client.admin_option
 @admin_client.json_option
-@click.option("--watch", is_flag=True, help="Show it again every second.")
+@click.option("--watch", is_flag=True, help="Refresh every second.")
 def command(admin: str, as_json: bool, watch: bool) -> None:
-    """Show targets and processes as one process sees them."""
+    """Show targets and processes as seen by one process."""
     while True:
         status = admin_client.send_request(
             admin, "GET", "/status", report.Status
@@ -32,23 +33,23 @@
 
 
 def print_status(status: report.Status) -> None:
-    """Prints a status for people."""
+    """Prints a status as tables."""
     ready = "ready" if status.ready else "not ready"
     config = f"configuration {status.config}"
     if not status.config:
-        config = "no configuration known yet"
+        config = "no configuration loaded"
     click.echo(
-        f"seen from {status.process} (forklift {status.version}, {ready}); "
+        f"as seen by {status.process} (forklift {status.version}, {ready}); "
         f"{config}; policy {status.policy}"
     )
-    for promise, count in status.broken.items():
-        click.echo(f"broken promise {promise}: {count} times")
-    _table(
-        ("target", "service", "beside", "state", "load", "path"),
+    for invariant, count in status.broken.items():
+        click.echo(f"violated invariant {invariant}: {count} times")
+    _print_table(
+        ("target", "service", "process", "state", "load", "path"),
         [_target_row(target) for target in status.targets],
     )
-    _table(
-        ("process", "domain", "seen as", "configuration", "admin"),
+    _print_table(
+        ("process", "domain", "liveness", "configuration", "admin"),
         [
             (p.name, p.domain, p.liveness, str(p.config), p.admin)
             for p in status.processes
@@ -67,10 +68,10 @@
     )
 
 
-def _table(names: tuple[str, ...], rows: list[tuple[str, ...]]) -> None:
-    widths = [max(map(len, column)) for column in zip(names, *rows)]  # noqa: B905
+def _print_table(headers: tuple[str, ...], rows: list[tuple[str, ...]]) -> None:
+    widths = [max(map(len, column)) for column in zip(headers, *rows)]  # noqa: B905
     click.echo("")
-    for row in (names, *rows):
+    for row in (headers, *rows):
         cells = zip(row, widths, strict=True)
         line = "  ".join(cell.ljust(width) for cell, width in cells)
         click.echo(line.rstrip())
--- a/test/test_binary.py
+++ b/test/test_binary.py
@@ -1,4 +1,4 @@
-"""The program as a whole, run plainly and, where it was built, as one file."""
+"""The program run by Python and, if it was built, as a single-file binary."""
 
 import asyncio
 import pathlib
@@ -26,7 +26,7 @@
 
 
 def children(pid: int) -> list[int]:
-    """Processes that a process has started."""
+    """Returns the IDs of the child processes of a process."""
     found = []
     for task in pathlib.Path(f"/proc/{pid}/task").iterdir():
         found += (task / "children").read_text().split()
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("name", PROGRAMS)
-def test_program_serves_reloads_and_stops_as_planned(name):
+def test_program_serves_reloads_and_shuts_down_gracefully(name):
     async def work():
         program = PROGRAMS[name]
         code, text = await output(*program, "--version")
@@ -62,9 +62,9 @@
             await ready(running, place)
             assert (await ask(place, "/history/1")).status == 200
             pid = running.process_by_name["p"].pid
-            # The loader of the one file waits for the process it starts.
-            allowed = 1 if name == "binary" else 0
-            assert len(children(pid)) == allowed
+            # The bootloader of the binary starts the program as its child.
+            expected = 1 if name == "binary" else 0
+            assert len(children(pid)) == expected
             if name == "plain":
                 running.process_by_name["p"].send_signal(1)
                 assert (await ask(place, "/history/2")).status == 200
@@ -73,7 +73,7 @@
     helper.run(work())
 
 
-def test_a_hang_up_signal_is_ignored_before_anything_is_loaded():
+def test_sighup_is_ignored_before_other_modules_are_imported():
     code = """
 import signal
 import sys
--- a/test/test_ui.py
+++ b/test/test_ui.py
@@ -1,4 +1,4 @@
-"""The command line, settings and policies: every mistake named."""
+"""Commands, and validation of settings and policies."""
 
 import asyncio
 import json
@@ -30,24 +30,36 @@
 """
 _STORE = "127.0.0.1:5"
 
-MISTAKES = {
+INVALID_SETTINGS = {
     "unknown key": (PROCESS + "colour = red\n", "platform", "colour"),
     "unknown section": (PROCESS + "[logs]\n", "logs", ""),
-    "missing": (PROCESS.replace("domain = d\n", ""), "process", "domain"),
-    "host name": (PROCESS.replace(_STORE, "store:5"), "platform", "store"),
-    "no port": (PROCESS.replace(_STORE, "127.0.0.1"), "platform", "store"),
-    "one port twice": (PROCESS.replace(":4", ":3"), "process", "admin"),
-    "twice over": (PROCESS.replace(":7", ":3"), "platform", "ready"),
+    "missing key": (PROCESS.replace("domain = d\n", ""), "process", "domain"),
+    "host name instead of IP": (
+        PROCESS.replace(_STORE, "store:5"),
+        "platform",
+        "store",
+    ),
+    "missing port": (PROCESS.replace(_STORE, "127.0.0.1"), "platform", "store"),
+    "one port in one section": (
+        PROCESS.replace(":4", ":3"),
+        "process",
+        "admin",
+    ),
+    "one port in two sections": (
+        PROCESS.replace(":7", ":3"),
+        "platform",
+        "ready",
+    ),
     "not a number": (PROCESS + "grace = soon\n", "platform", "grace"),
     "out of bounds": (PROCESS + "grace = 1e9\n", "platform", "grace"),
-    "not a number at all": (PROCESS + "grace = nan\n", "platform", "grace"),
-    "no ini": ("what", "", ""),
+    "NaN": (PROCESS + "grace = nan\n", "platform", "grace"),
+    "not INI syntax": ("what", "", ""),
 }
 
 
-@pytest.mark.parametrize("name", MISTAKES)
-def test_settings_mistakes_name_place_and_remedy(name):
-    text, section, key = MISTAKES[name]
+@pytest.mark.parametrize("name", INVALID_SETTINGS)
+def test_invalid_settings_are_reported_with_place_and_remedy(name):
+    text, section, key = INVALID_SETTINGS[name]
     with pytest.raises(errors.FileProblems) as raised:
         settings.parse("f.ini", text)
     places = [(p.section, p.key) for p in raised.value.problems]
@@ -60,7 +72,7 @@
 [service s]
 spread = least-loaded
 """
-POLICY_MISTAKES = {
+INVALID_POLICIES = {
     "no header": (POLICY.replace("[policy]\nname = p\n", ""), "policy"),
     "unknown section": (POLICY + "[route r]\n", "route r"),
     "bad expression": (POLICY + "retry = a >\n", "s"),
@@ -72,14 +84,14 @@
 }
 
 
-@pytest.mark.parametrize("name", POLICY_MISTAKES)
-def test_policy_mistakes(name):
-    text, place = POLICY_MISTAKES[name]
+@pytest.mark.parametrize("name", INVALID_POLICIES)
+def test_invalid_policies_are_reported_with_their_section(name):
+    text, place = INVALID_POLICIES[name]
     problems = policy.check("f.ini", text)
     assert any(place in problem.section for problem in problems)
 
 
-def test_expression_that_fails_at_run_time_falls_back_and_is_counted():
+def test_failing_expression_returns_its_default_and_is_counted():
     text = POLICY + "retry = 10 / attempt > 1\n"
     service = policy.parse("f", text).program("s")
     before = policy.expressions.failures_by_expression.total()
@@ -94,7 +106,7 @@
 @pytest.mark.parametrize(
     "path", sorted(helper.EXAMPLES.iterdir()), ids=lambda p: p.name
 )
-def test_examples_have_no_mistakes(path):
+def test_examples_are_valid(path):
     result = run("check", str(path))
     assert result.exit_code == 0, result.output
 
@@ -103,7 +115,7 @@
     return click.testing.CliRunner().invoke(ui.cli, arguments)
 
 
-def test_check_prints_every_mistake_on_a_line(tmp_path, capsys, monkeypatch):
+def test_check_prints_one_line_for_each_error(tmp_path, capsys, monkeypatch):
     path = tmp_path / "bad.ini"
     path.write_text(PROCESS + "colour = red\ngrace = soon\n")
     monkeypatch.setattr("sys.argv", ["forklift", "check", str(path)])
@@ -115,8 +127,8 @@
     assert all(str(path) in line for line in lines)
 
 
-def test_no_process_is_one_line(capsys, monkeypatch):
-    # Nothing can listen on port 0.
+def test_unreachable_process_is_reported_on_one_line(capsys, monkeypatch):
+    # No process can listen on port 0.
     arguments = ["forklift", "status", "--admin", "127.0.0.1:0"]
     monkeypatch.setattr("sys.argv", arguments)
     with pytest.raises(SystemExit) as raised:
@@ -133,7 +145,7 @@
 @pytest.mark.parametrize(
     "text", ["{", "{}", '{"version": 0, "routes": {}, "services": {}}']
 )
-def test_check_names_what_is_wrong_with_a_configuration(text, tmp_path):
+def test_check_reports_an_invalid_configuration_with_its_file(text, tmp_path):
     path = tmp_path / "record.json"
     path.write_text(text)
     found = run("check", str(path)).exception
@@ -141,8 +153,11 @@
     assert str(path) in str(found)
 
 
-def test_defaults_say_the_same_as_their_text():
-    """The built-in functions against the language they are written in."""
+def test_built_in_functions_equal_their_policy_expressions():
+    """Guards the Python functions against deviations from their documentation.
+
+    The expressions that document them are evaluated on the same inputs.
+    """
     program = policy.BUILT_IN.program("s")
     failure = policy.expressions.Expression(
         program.failure.text, {"status": 1}, True
@@ -164,14 +179,14 @@
                 assert found == retry.evaluate(**values)
 
 
-def test_a_policy_serves_named_services_and_all_others():
+def test_policy_applies_to_named_services_and_the_default_to_others():
     text = POLICY + "[service default]\nspread = round-robin\n"
     read = policy.parse("f", text)
     assert read.program("s").spread == "least-loaded"
     assert read.program("other").spread == "round-robin"
 
 
-def test_the_language_is_loaded_only_for_written_programs():
+def test_serving_does_not_import_cel_or_opentelemetry():
     code = (
         "import sys; from forklift.shell import serve; "
         "print([m for m in ('cel', 'opentelemetry') if m in sys.modules])"
@@ -182,38 +197,40 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_operators_commands_on_a_running_fleet(tmp_path):
-    """The commands run in a thread, as they start a loop of their own."""
+def test_commands_on_a_running_fleet(tmp_path):
+    """Commands run in threads, as each starts an event loop of its own."""
 
     async def work():
         async with processes.Fleet([[], []]) as fleet:
-            front = admin.AdminServer(fleet.proxies[0])
-            front._server.address = ""
-            await front._server.open("127.0.0.1:0")
-            address = front._server.address
-            asked = ("--admin", address)
+            server = admin.AdminServer(fleet.proxies[0])
+            server._server.address = ""
+            await server._server.open("127.0.0.1:0")
+            address = server._server.address
+            admin_option = ("--admin", address)
 
             async def call(*arguments):
                 return await asyncio.to_thread(run, *arguments)
 
-            status = await call("status", *asked)
+            status = await call("status", *admin_option)
             assert "t1" in status.output
-            told = json.loads((await call("status", "--json", *asked)).output)
-            assert told["config"] == 1
-            state = json.loads((await call("state", *asked)).output)
+            as_json = json.loads(
+                (await call("status", "--json", *admin_option)).output
+            )
+            assert as_json["config"] == 1
+            state = json.loads((await call("state", *admin_option)).output)
             assert state["status"]["process"] == "p0"
             assert state["beside"][0]["target"] == "t0"
-            unknown = await call("explain", "nobody", *asked)
-            assert "known are" in str(unknown.exception)
+            unknown = await call("explain", "nobody", *admin_option)
+            assert "known targets" in str(unknown.exception)
             path = tmp_path / "record.json"
             path.write_text(json.dumps(processes.record(2)))
             store = ("--store", fleet.server.address)
-            dry = await call("publish", str(path), "--dry-run", *store)
-            assert "version 1 -> 2: not written" in dry.output
+            dry_run = await call("publish", str(path), "--dry-run", *store)
+            assert "version 1 -> 2: not written" in dry_run.output
             published = await call("publish", str(path), *store)
             assert "in force" in published.output
-            lost = await call("publish", str(path), *store)
-            assert lost.exit_code == 3
-            front.close()
+            conflict = await call("publish", str(path), *store)
+            assert conflict.exit_code == 3
+            server.close()
 
     helper.run(work())
