--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -1,4 +1,4 @@
-"""Callers: requests sent ahead, hang-ups, bounds, final answers."""
+"""Pipelining, disconnects, limits and shutdown on connections of callers."""
 
 import asyncio
 import dataclasses
@@ -25,13 +25,13 @@
 
 
 class Rig:
-    """An ingress whose requests are answered by the test."""
+    """An ingress with one connection; the test decides when to respond."""
 
-    def __init__(self, known: bool = True):
-        self.known = known
+    def __init__(self, is_configured: bool = True):
+        self.is_configured = is_configured
         self.limits = LIMITS
         self.requests: list[exchange.Request] = []
-        self.gates: dict[str, asyncio.Future] = {}
+        self.permissions: dict[str, asyncio.Future] = {}
         self.cancelled: list[str] = []
         self.clock = helper.FakeClock()
         self.ingress = ingress.Ingress(
@@ -39,7 +39,7 @@
                 header_names=header_fields.DEFAULT,
                 limits=lambda: self.limits,
                 find_route=self._find,
-                is_configured=lambda: self.known,
+                is_configured=lambda: self.is_configured,
                 handle=self._handle,
                 next_seq=lambda: 1,
                 on_result=lambda *_: None,
@@ -70,7 +70,7 @@
                 f"x-request-id: id{path}\r\n{extra}\r\n{body}".encode()
             )
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes]:
+    async def read_response(self) -> tuple[int, dict[str, str], bytes]:
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode()
         lines = head.split("\r\n")
         fields = dict(line.lower().split(": ", 1) for line in lines[1:] if line)
@@ -78,11 +78,11 @@
         body = await self.reader.readexactly(size)
         return int(lines[0].split()[1]), fields, body
 
-    async def arrived(self, count: int) -> None:
+    async def wait_for_requests(self, count: int) -> None:
         await helper.until(lambda: len(self.requests) >= count)
 
-    def let(self, path: str) -> None:
-        self.gates[path].set_result(None)
+    def respond(self, path: str) -> None:
+        self.permissions[path].set_result(None)
 
     def _find(self, host: str, path: str, keys) -> ingress.RouteMatch | None:
         return (
@@ -92,10 +92,10 @@
     async def _handle(self, request, sink) -> exchange.Result:
         path = request.path.decode()
         self.requests.append(request)
-        gate = asyncio.get_running_loop().create_future()
-        self.gates[path] = gate
+        permission = asyncio.get_running_loop().create_future()
+        self.permissions[path] = permission
         try:
-            await gate
+            await permission
         except asyncio.CancelledError:
             self.cancelled.append(path)
             raise
@@ -114,26 +114,26 @@
     helper.run(run())
 
 
-def test_requests_sent_ahead_run_at_once_and_are_answered_in_order():
+def test_pipelined_requests_run_concurrently_and_are_answered_in_order():
     async def work(rig):
         rig.send("/a/1", "/a/2", "/a/3")
-        await rig.arrived(3)
+        await rig.wait_for_requests(3)
         for path in ("/a/3", "/a/2", "/a/1"):
-            rig.let(path)
+            rig.respond(path)
         for path in (b"/a/1", b"/a/2", b"/a/3"):
-            status, _, body = await rig.answer()
+            status, _, body = await rig.read_response()
             assert (status, body) == (200, path)
 
     play(work)
 
 
-def test_a_request_is_passed_on_as_it_came():
+def test_a_request_keeps_its_target_id_and_end_to_end_headers():
     async def work(rig):
         forged = "x-origin-service: forged\r\nx-expected-target: forged\r\n"
         hop = "connection: x-hop\r\nx-hop: 1\r\nx-kept: 2\r\n"
         deadline = "x-request-timeout-ms: 1500\r\n"
         rig.send("/a/b?c=%20d", extra=forged + hop + deadline)
-        await rig.arrived(1)
+        await rig.wait_for_requests(1)
         request = rig.requests[0]
         fields = dict(request.headers)
         assert request.path == b"/a/b?c=%20d"
@@ -149,43 +149,43 @@
     play(work)
 
 
-def test_a_route_bounds_the_deadline():
+def test_the_route_limits_the_deadline_of_the_caller():
     async def work(rig):
         rig.send("/a/1", extra="x-request-timeout-ms: 60000\r\n")
-        await rig.arrived(1)
+        await rig.wait_for_requests(1)
         assert rig.requests[0].deadline == rig.clock.now + ROUTE.timeout
 
     play(work)
 
 
-def test_a_hang_up_cancels_all_requests_of_the_connection():
+def test_a_disconnect_cancels_all_requests_of_the_connection():
     async def work(rig):
         rig.send("/a/1", "/a/2")
-        await rig.arrived(2)
+        await rig.wait_for_requests(2)
         rig.writer.close()
         await helper.until(lambda: len(rig.cancelled) == 2)
 
     play(work)
 
 
-def test_no_route_is_404_and_the_connection_stays():
+def test_a_request_without_a_route_gets_404_and_the_connection_stays_open():
     async def work(rig):
         rig.send("/b/")
-        assert (await rig.answer())[0] == 404
+        assert (await rig.read_response())[0] == 404
         rig.send("/a/1")
-        await rig.arrived(1)
+        await rig.wait_for_requests(1)
 
     play(work)
 
 
-def test_no_configuration_is_503_with_retry_after():
+def test_without_a_configuration_the_response_is_503_with_retry_after():
     async def work(rig):
         rig.send("/b/")
-        status, fields, _ = await rig.answer()
+        status, fields, _ = await rig.read_response()
         assert status == 503
         assert float(fields["retry-after"]) > 0
 
-    play(work, known=False)
+    play(work, is_configured=False)
 
 
 @pytest.mark.parametrize(
@@ -197,12 +197,12 @@
         ("x-request-timeout-ms: soon\r\n", 400),
     ],
 )
-def test_what_is_out_of_bounds_is_refused_and_the_connection_closed(
+def test_an_invalid_or_too_large_request_is_rejected_and_the_connection_closed(
     extra, status
 ):
     async def work(rig):
         rig.send("/a/1", extra=extra)
-        found, fields, _ = await rig.answer()
+        found, fields, _ = await rig.read_response()
         assert found == status
         assert fields["connection"] == "close"
         assert await rig.reader.read() == b""
@@ -211,20 +211,20 @@
     play(work)
 
 
-def test_a_head_that_takes_too_long_is_408():
+def test_a_head_that_exceeds_its_timeout_gets_408():
     async def work(rig):
         rig.writer.write(b"GET /a/1 HTTP/1.1\r\n")
         await helper.until(
-            lambda: any(s._head_since for s in rig.ingress._sessions)
+            lambda: any(s._head_started_at for s in rig.ingress._sessions)
         )
         rig.ingress.tick(rig.clock.now + LIMITS.head_timeout + 1)
-        assert (await rig.answer())[0] == 408
+        assert (await rig.read_response())[0] == 408
         assert await rig.reader.read() == b""
 
     play(work)
 
 
-def test_the_idle_bound_in_force_holds_for_kept_connections():
+def test_a_changed_idle_timeout_applies_to_open_connections():
     async def work(rig):
         await helper.until(lambda: rig.ingress.connections == 1)
         rig.clock.now += 5.0
@@ -237,27 +237,27 @@
     play(work)
 
 
-def test_a_connection_with_a_request_is_not_idle():
+def test_a_connection_with_a_running_request_is_not_closed_as_idle():
     async def work(rig):
         rig.send("/a/1")
-        await rig.arrived(1)
+        await rig.wait_for_requests(1)
         rig.clock.now += 100.0
         rig.ingress.tick(rig.clock.now)
-        rig.let("/a/1")
-        assert (await rig.answer())[0] == 200
+        rig.respond("/a/1")
+        assert (await rig.read_response())[0] == 200
 
     play(work)
 
 
-def test_stopping_answers_what_was_read_and_then_closes():
+def test_shutdown_answers_received_requests_and_then_closes():
     async def work(rig):
         rig.send("/a/1", "/a/2")
-        await rig.arrived(2)
+        await rig.wait_for_requests(2)
         rig.ingress.stopping = True
-        rig.let("/a/1")
-        rig.let("/a/2")
-        _, first, _ = await rig.answer()
-        _, second, _ = await rig.answer()
+        rig.respond("/a/1")
+        rig.respond("/a/2")
+        _, first, _ = await rig.read_response()
+        _, second, _ = await rig.read_response()
         assert "connection" not in first
         assert second["connection"] == "close"
         assert await rig.reader.read() == b""
@@ -265,20 +265,20 @@
     play(work)
 
 
-def test_a_large_body_is_passed_on_as_it_is_taken():
+def test_a_large_body_is_streamed():
     async def work(rig):
         rig.limits = dataclasses.replace(LIMITS, body_bytes=1_000_000)
         size = 3 * exchange.INLINE_BYTES
         rig.send("/a/1", extra=f"content-length: {size}\r\n", body="x" * size)
-        await rig.arrived(1)
+        await rig.wait_for_requests(1)
         body = rig.requests[0].body
         assert not body.complete
-        taken = b"".join([piece async for piece in body.chunks()])
+        taken = b"".join([chunk async for chunk in body.chunks()])
         assert len(taken) == size
-        rig.let("/a/1")
-        assert (await rig.answer())[0] == 200
+        rig.respond("/a/1")
+        assert (await rig.read_response())[0] == 200
         rig.send("/a/2")
-        await rig.arrived(2)
+        await rig.wait_for_requests(2)
 
     play(work)
 
@@ -287,7 +287,7 @@
     ("outcome", "status"),
     [(messages.Outcome.NOT_RUN, 503), (messages.Outcome.UNKNOWN, 502)],
 )
-def test_only_what_has_not_run_is_told_to_come_back(outcome, status):
+def test_only_a_request_that_did_not_run_gets_retry_after(outcome, status):
     async def work(rig):
         result = exchange.not_run(messages.Reason.BUSY, 0.25)
         if outcome is messages.Outcome.UNKNOWN:
@@ -302,62 +302,62 @@
         for session in rig.ingress._sessions:
             session._hooks = rig.ingress.hooks
         rig.send("/a/1")
-        found, fields, _ = await rig.answer()
+        found, fields, _ = await rig.read_response()
         assert found == status
         assert ("retry-after" in fields) == (status == 503)
 
     play(work)
 
 
-def in_the_turn_of(rig: Rig, act) -> None:
-    """Does something in the turn of the loop in which bytes arrive."""
+def call_on_data(rig: Rig, callback) -> None:
+    """Calls `callback` in the event loop iteration in which bytes arrive."""
     (session,) = rig.ingress._sessions
-    take = session.connection.data_received
+    receive = session.connection.data_received
 
     def taken(data: bytes) -> None:
-        take(data)
-        act()
+        receive(data)
+        callback()
 
     session.connection.data_received = taken
 
 
-@pytest.mark.parametrize("how", ["stop", "idle"])
-def test_a_request_that_arrives_as_idle_connections_are_closed_is_answered(how):
-    """It was read, so it would be sent on and its answer would go nowhere."""
+@pytest.mark.parametrize("case", ["stop", "idle"])
+def test_a_request_that_arrives_while_idle_connections_close_is_answered(case):
+    """Otherwise it would run and its response would be lost."""
 
     async def work(rig):
         await helper.until(lambda: rig.ingress.connections == 1)
 
         def close() -> None:
-            if how == "stop":
+            if case == "stop":
                 rig.ingress.stopping = True
                 rig.ingress.close_idle()
             else:
                 rig.ingress.tick(rig.clock.now + LIMITS.idle_timeout + 1)
 
-        in_the_turn_of(rig, close)
+        call_on_data(rig, close)
         rig.send("/a/1")
         await helper.until(lambda: rig.requests or rig.reader.at_eof())
-        assert rig.requests, "closed, and a whole request was in its buffer"
-        rig.let("/a/1")
-        assert (await rig.answer())[0] == 200
+        assert rig.requests, "closed with a complete request in its buffer"
+        rig.respond("/a/1")
+        assert (await rig.read_response())[0] == 200
 
     play(work)
 
 
-def test_nothing_is_passed_on_behind_the_answer_that_closes():
-    """Its caller was told that no further answer comes."""
+def test_no_request_runs_after_a_response_with_connection_close():
+    """The caller was told that no other response follows."""
 
     async def work(rig):
         handle = rig.ingress.hooks.handle
-        going_on = asyncio.Event()
+        may_finish = asyncio.Event()
 
         async def slow(request, sink):
             if request.path != b"/a/1":
                 return await handle(request, sink)
             rig.requests.append(request)
             await sink.start(exchange.Head(200, (), -1))
-            await going_on.wait()
+            await may_finish.wait()
             await sink.end()
             return exchange.answered(200, "t")
 
@@ -368,11 +368,11 @@
         rig.send("/a/1")
         head = await rig.reader.readuntil(b"\r\n\r\n")
         assert b"connection: close" in head
-        seen = []
-        in_the_turn_of(rig, lambda: seen.append(True))
+        observed = []
+        call_on_data(rig, lambda: observed.append(True))
         rig.send("/a/2")
-        await helper.until(lambda: seen and not session.connection.buffered)
-        going_on.set()
+        await helper.until(lambda: observed and not session.connection.buffered)
+        may_finish.set()
         rest = asyncio.create_task(rig.reader.read())
         await helper.until(lambda: rest.done() or len(rig.requests) > 1)
         assert [request.path for request in rig.requests] == [b"/a/1"]
@@ -381,48 +381,48 @@
     play(work)
 
 
-def test_a_late_head_does_not_cut_the_answer_before_it():
+def test_an_overdue_head_does_not_abort_the_previous_response():
     async def work(rig):
         rig.send("/a/1")
-        await rig.arrived(1)
+        await rig.wait_for_requests(1)
         rig.writer.write(b"GET /a/2 HTTP/1.1\r\n")
         await helper.until(
-            lambda: any(s._head_since for s in rig.ingress._sessions)
+            lambda: any(s._head_started_at for s in rig.ingress._sessions)
         )
         rig.ingress.tick(rig.clock.now + LIMITS.head_timeout + 1)
-        rig.let("/a/1")
-        assert (await rig.answer())[0] == 200
-        assert (await rig.answer())[0] == 408
+        rig.respond("/a/1")
+        assert (await rig.read_response())[0] == 200
+        assert (await rig.read_response())[0] == 408
         assert await rig.reader.read() == b""
 
     play(work)
 
 
-def test_a_half_read_request_keeps_its_connection_through_a_stop():
+def test_a_partial_request_keeps_its_connection_open_during_shutdown():
     async def work(rig):
         rig.send("/a/1")
-        await rig.arrived(1)
+        await rig.wait_for_requests(1)
         rig.writer.write(b"GET /a/2 HTTP/1.1\r\nhost: h\r\n")
         await helper.until(
-            lambda: any(s._head_since for s in rig.ingress._sessions)
+            lambda: any(s._head_started_at for s in rig.ingress._sessions)
         )
         rig.ingress.stopping = True
-        rig.let("/a/1")
-        _, first, _ = await rig.answer()
+        rig.respond("/a/1")
+        _, first, _ = await rig.read_response()
         assert "connection" not in first
         rig.ingress.close_idle()
         rig.writer.write(b"\r\n")
-        await rig.arrived(2)
-        rig.let("/a/2")
-        _, second, _ = await rig.answer()
+        await rig.wait_for_requests(2)
+        rig.respond("/a/2")
+        _, second, _ = await rig.read_response()
         assert second["connection"] == "close"
         assert await rig.reader.read() == b""
 
     play(work)
 
 
-class Taking:
-    """A transport, or a connection, that takes what is written."""
+class RecordingTransport:
+    """A transport or connection that records what is written to it."""
 
     congested = False
 
@@ -439,39 +439,41 @@
         pass
 
 
-def test_of_two_answers_that_wait_for_one_turn_the_newest_counts():
-    """Work that must not repeat goes on when its request is given up."""
+def test_of_two_responses_to_one_request_the_latest_is_sent():
+    """An attempt of a non-idempotent request outlives the request."""
 
     async def work():
         protocol = h11.Connection(h11.SERVER)
         protocol.receive_data(b"GET / HTTP/1.1\r\nhost: h\r\n\r\n")
         protocol.next_event()
-        turn = asyncio.get_running_loop().create_future()
-        taking = Taking()
-        answer = response_writer.ResponseWriter(
-            taking, lambda _: True, protocol, b"GET", turn
+        previous = asyncio.get_running_loop().create_future()
+        transport = RecordingTransport()
+        writer = response_writer.ResponseWriter(
+            transport, lambda _: True, protocol, b"GET", previous
         )
 
-        async def give(status: int) -> None:
-            await answer.start(exchange.Head(status, (), 0))
-            await answer.end()
+        async def write_response(status: int) -> None:
+            await writer.start(exchange.Head(status, (), 0))
+            await writer.end()
 
-        given = [asyncio.create_task(give(status)) for status in (200, 502)]
-        # Each begins in its order.
+        tasks = [
+            asyncio.create_task(write_response(status)) for status in (200, 502)
+        ]
+        # Both tasks start to wait, in this order.
         await asyncio.sleep(0)
-        turn.set_result(None)
-        first, second = await asyncio.gather(*given, return_exceptions=True)
+        previous.set_result(None)
+        first, second = await asyncio.gather(*tasks, return_exceptions=True)
         assert isinstance(first, tcp_stream.ConnectionLost)
         assert second is None
-        assert taking.written.startswith(b"HTTP/1.1 502")
+        assert transport.written.startswith(b"HTTP/1.1 502")
 
     helper.run(work())
 
 
-def test_a_connection_that_was_closed_reads_nothing_more():
+def test_a_closed_connection_discards_received_data():
     async def work():
         connection = tcp_stream.Connection()
-        connection.connection_made(Taking())
+        connection.connection_made(RecordingTransport())
         connection.data_received(b"before")
         connection.close()
         connection.data_received(b"after")
@@ -480,54 +482,56 @@
     helper.run(work())
 
 
-@pytest.mark.parametrize("how", ["stalls", "too large"])
-def test_a_broken_body_does_not_cut_the_answer_before_it(monkeypatch, how):
-    """As with a late head: the request before it was passed on."""
+@pytest.mark.parametrize("case", ["stalls", "too large"])
+def test_an_incomplete_body_does_not_abort_the_previous_response(
+    monkeypatch, case
+):
+    """The previous request is running already."""
     monkeypatch.setattr(response_writer, "STALL_TIMEOUT", 0.05)
     body = {
         "stalls": b"content-length: 4\r\n\r\nab",
         "too large": b"transfer-encoding: chunked\r\n\r\n65\r\n" + b"x" * 101,
     }
-    ended = []
-    whole = request_body.BodyReader.read
+    finished = []
+    read_body = request_body.BodyReader.read
 
-    async def noted(*arguments):
+    async def recorded_read(*arguments):
         try:
-            return await whole(*arguments)
+            return await read_body(*arguments)
         finally:
-            ended.append(True)
+            finished.append(True)
 
     async def work(rig):
         rig.send("/a/1")
-        await rig.arrived(1)
-        monkeypatch.setattr(request_body.BodyReader, "read", noted)
-        rig.writer.write(b"PUT /a/2 HTTP/1.1\r\nhost: h\r\n" + body[how])
-        await helper.until(lambda: ended)
+        await rig.wait_for_requests(1)
+        monkeypatch.setattr(request_body.BodyReader, "read", recorded_read)
+        rig.writer.write(b"PUT /a/2 HTTP/1.1\r\nhost: h\r\n" + body[case])
+        await helper.until(lambda: finished)
         for _ in range(100):
             await asyncio.sleep(0)
-        assert rig.cancelled == [], "the first was given up"
-        rig.let("/a/1")
-        assert (await rig.answer())[0] == 200
+        assert rig.cancelled == [], "the first request was cancelled"
+        rig.respond("/a/1")
+        assert (await rig.read_response())[0] == 200
 
     play(work)
 
 
-def test_a_caller_that_sends_ahead_learns_of_a_stop():
-    """Two of its requests are always under way, up to the stop's bound."""
+def test_a_caller_that_pipelines_continuously_does_not_delay_shutdown():
+    """Two of its requests are always in progress."""
 
     async def work(rig):
         rig.send("/a/1", "/a/2")
-        await rig.arrived(2)
+        await rig.wait_for_requests(2)
         (session,) = rig.ingress._sessions
         rig.ingress.stopping = True
         for number in range(1, 10):
-            rig.let(f"/a/{number}")
-            _, fields, _ = await rig.answer()
+            rig.respond(f"/a/{number}")
+            _, fields, _ = await rig.read_response()
             if "connection" in fields:
                 break
-            # What it sends on is read before the next answer begins.
+            # The next request is read before the next response starts.
             read = []
-            in_the_turn_of(rig, lambda read=read: read.append(True))
+            call_on_data(rig, lambda read=read: read.append(True))
             rig.send(f"/a/{number + 2}")
             await helper.until(
                 lambda read=read: read and not session.connection.buffered
@@ -539,36 +543,42 @@
     play(work)
 
 
-def test_large_bodies_are_told_apart_by_their_beginning_and_length():
-    """However they are cut on the way; of one length, others go on."""
+def test_the_fingerprint_of_a_large_body_covers_its_prefix_and_length():
+    """It does not depend on how the body is split into packets."""
 
     async def work(fleet):
-        seen = []
-        one = fleet.proxies[0]
-        run = one.forwarder.run
+        observed = []
+        process = fleet.proxies[0]
+        run = process.forwarder.run
 
-        async def note(request, sink):
-            seen.append(request.fingerprint)
+        async def record_fingerprint(request, sink):
+            observed.append(request.fingerprint)
             return await run(request, sink)
 
-        one.ingress.hooks = dataclasses.replace(one.ingress.hooks, handle=note)
+        process.ingress.hooks = dataclasses.replace(
+            process.ingress.hooks, handle=record_fingerprint
+        )
         size = 3 * exchange.INLINE_BYTES
-        for body, cut in ((b"a", 100), (b"a", size - 1), (b"b", 100)):
-            await post(one, body * size, cut)
-        assert seen[0] == seen[1] != seen[2]
+        for body, split_at in ((b"a", 100), (b"a", size - 1), (b"b", 100)):
+            await post_in_two_parts(process, body * size, split_at)
+        assert observed[0] == observed[1] != observed[2]
 
     processes.play(work, [[]])
 
 
-async def post(one: proxy.Proxy, body: bytes, cut: int) -> None:
-    """Sends a request whose body comes in two pieces."""
-    address = tcp_stream.split_address(one.caller_address)
+async def post_in_two_parts(
+    process: proxy.Proxy, body: bytes, split_at: int
+) -> None:
+    """Sends a request whose body arrives in two parts."""
+    address = tcp_stream.split_address(process.caller_address)
     reader, writer = await asyncio.open_connection(*address)
     head = b"POST /a/ HTTP/1.1\r\nhost: h\r\nconnection: close\r\n"
-    writer.write(head + b"content-length: %d\r\n\r\n" % len(body) + body[:cut])
+    writer.write(
+        head + b"content-length: %d\r\n\r\n" % len(body) + body[:split_at]
+    )
     await writer.drain()
-    # The first piece is read by itself.
-    await helper.until(lambda: one.ingress.pending_connections)
-    writer.write(body[cut:])
+    # The first part must be read separately.
+    await helper.until(lambda: process.ingress.pending_connections)
+    writer.write(body[split_at:])
     assert (await reader.read()).startswith(b"HTTP/1.1 200")
     writer.close()
--- a/test/test_response_buffer.py
+++ b/test/test_response_buffer.py
@@ -1,4 +1,4 @@
-"""Answers that are held back, and which of several goes out."""
+"""Buffering of responses, and the choice among concurrent ones."""
 
 import pytest
 
@@ -11,23 +11,23 @@
     return exchange.Head(status, (), length)
 
 
-async def answer(
-    held: response_buffer.BufferedResponse, body: bytes, length: int
+async def write_response(
+    response: response_buffer.BufferedResponse, body: bytes, length: int
 ) -> None:
-    await held.start(head(length))
-    await held.data(body)
-    await held.end()
+    await response.start(head(length))
+    await response.data(body)
+    await response.end()
 
 
 @pytest.mark.parametrize("lengths", [(3, 3), (-1, 3), (3, -1), (-1, -1)])
-def test_of_two_answers_only_one_goes_out(lengths):
+def test_only_one_of_two_concurrent_responses_is_sent(lengths):
     async def work():
         sink, claim = helper.Sink(), response_buffer.ResponseClaim()
         one = response_buffer.BufferedResponse(sink, None, claim)
         two = response_buffer.BufferedResponse(sink, None, claim)
         await one.start(head(lengths[0]))
         await one.data(b"o")
-        await answer(two, b"two", lengths[1])
+        await write_response(two, b"two", lengths[1])
         await one.data(b"ne")
         await one.end()
         assert sink.body in (b"one", b"two")
@@ -36,7 +36,7 @@
     helper.run(work())
 
 
-def test_an_attempt_that_passed_nothing_on_gives_the_turn_back():
+def test_an_attempt_that_sent_nothing_releases_the_claim():
     async def work():
         sink, claim = helper.Sink(), response_buffer.ResponseClaim()
         one = response_buffer.BufferedResponse(sink, None, claim)
@@ -45,13 +45,13 @@
         claim.release(two)
         assert not claim.try_acquire(two)
         claim.release(one)
-        await answer(two, b"two", 3)
+        await write_response(two, b"two", 3)
         assert sink.body == b"two"
 
     helper.run(work())
 
 
-def test_a_failure_is_held_until_it_is_asked_for():
+def test_a_failure_is_withheld_until_it_is_flushed():
     async def work():
         sink, claim = helper.Sink(), response_buffer.ResponseClaim()
         failed = response_buffer.BufferedResponse(
