--- a/forklift/shell/response_writer.py
+++ b/forklift/shell/response_writer.py
@@ -75,7 +75,7 @@
         replaces it, and sending two heads would corrupt the connection.
 
         Raises:
-            tcp_stream.ConnectionLost: Another response to the same request was started.
+            tcp_stream.ConnectionLost: Another response to the request began.
         """
         self._start_count += 1
         own_count = self._start_count
--- a/forklift/shell/server.py
+++ b/forklift/shell/server.py
@@ -122,6 +122,7 @@
     async def _serve_request(
         self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> bool:
+        """Serves one request; returns whether to keep the connection open."""
         event = await _next_event(connection, protocol)
         if not isinstance(event, h11.Request):
             return False
@@ -144,6 +145,7 @@
     async def _read_body(
         self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> bytes | None:
+        """Returns the complete body; None if it is too large or incomplete."""
         body = bytearray()
         while True:
             event = await _next_event(connection, protocol)
@@ -198,6 +200,7 @@
     request: Request,
     response: Response,
 ) -> bool:
+    """Sends a response; returns whether the connection can be reused."""
     headers = [
         *response.headers,
         (b"content-type", response.media_type),
