--- a/forklift/shell/control_protocols.py
+++ b/forklift/shell/control_protocols.py
@@ -19,8 +19,8 @@
 from forklift import quarantine as quarantines
 from forklift import quarantine_sync
 from forklift import store_readers
-from forklift.shell import beside as besides
 from forklift.shell import clock as clocks
+from forklift.shell import local_targets
 from forklift.shell import quarantine_store
 from forklift.shell import store_follower
 
@@ -43,7 +43,7 @@
         clock: clocks.SystemClock,
         active_catalog: catalog.ActiveCatalog,
         balancer: load_balancer.LoadBalancer,
-        beside: besides.Beside,
+        beside: local_targets.Beside,
         send: Callable[[str, messages.Control, bool], object],
         on_record_received: Callable[[bytes, str], None],
         on_target_gone: Callable[[str], None],
--- a/forklift/shell/sending.py
+++ b/forklift/shell/dispatch.py
@@ -15,8 +15,8 @@
 from forklift import errors
 from forklift import load_balancer
 from forklift import messages
-from forklift.shell import beside as besides
 from forklift.shell import exchange
+from forklift.shell import local_targets
 from forklift.shell import peer_client
 from forklift.shell import peer_connections
 
@@ -43,7 +43,7 @@
         name: str,
         boot: int,
         links: peer_connections.PeerConnections,
-        beside: besides.Beside,
+        beside: local_targets.Beside,
         next_seq: Callable[[], int],
         clock,
         rng: random.Random,
--- a/forklift/shell/forward.py
+++ b/forklift/shell/forwarding.py
@@ -20,12 +20,12 @@
 from forklift import policy
 from forklift import quarantine as quarantines
 from forklift import retries
-from forklift.shell import beside as besides
+from forklift.shell import dispatch
 from forklift.shell import exchange
+from forklift.shell import hedging
+from forklift.shell import local_targets
 from forklift.shell import peer_connections
-from forklift.shell import racing
 from forklift.shell import response_buffer
-from forklift.shell import sending
 from forklift.shell import shutdown
 
 _log = structlog.get_logger(__name__)
@@ -48,7 +48,7 @@
         name: str,
         boot: int,
         balancer: load_balancer.LoadBalancer,
-        beside: besides.Beside,
+        beside: local_targets.Beside,
         links: peer_connections.PeerConnections,
         program,
         clock,
@@ -64,7 +64,7 @@
         self.clock = clock
         self.rng = rng
         self._seqs = itertools.count(1)
-        self.sender = sending.Sender(
+        self.sender = dispatch.Sender(
             name, boot, links, beside, self.next_seq, clock, rng
         )
         self.sends = 0
@@ -326,7 +326,7 @@
 
     # What became of an attempt.
 
-    def _goes_on(self, tried: racing.Tried) -> bool:
+    def _goes_on(self, tried: hedging.Tried) -> bool:
         """Takes note of an attempt; whether another target is tried."""
         ending, target = tried.result.ending, tried.selection.target
         if ending.outcome is Outcome.NOT_RUN:
@@ -372,16 +372,16 @@
 
     # One attempt, or two beside each other.
 
-    async def _send(self, first: load_balancer.Selection) -> racing.Tried:
+    async def _send(self, first: load_balancer.Selection) -> hedging.Tried:
         """Makes an attempt, and a second beside it where it takes long."""
-        race = racing.Race(
+        race = hedging.Race(
             self._claim, self._begin, self._second, self._goes_on
         )
         return await race.run(first, self._patience())
 
     def _begin(
         self, selection: load_balancer.Selection, second: bool
-    ) -> racing.Attempt:
+    ) -> hedging.Attempt:
         # Tells answers that another target may replace.
         is_failure = None
         if self._request.idempotent and self._request.body.replayable:
@@ -390,7 +390,7 @@
             self._sink, is_failure, self._claim
         )
         task = asyncio.create_task(self._attempt(selection, buffered, second))
-        return racing.Attempt(selection, buffered, task)
+        return hedging.Attempt(selection, buffered, task)
 
     def _patience(self) -> float | None:
         """Seconds until a second attempt; None where there is none."""
--- a/forklift/shell/beside.py
+++ b/forklift/shell/local_targets.py
@@ -15,8 +15,8 @@
 from forklift import messages
 from forklift import policy
 from forklift import quarantine as quarantines
+from forklift.shell import connection_pool
 from forklift.shell import exchange
-from forklift.shell import pool as pools
 from forklift.shell import upstream
 
 _log = structlog.get_logger(__name__)
@@ -45,7 +45,7 @@
 
     target: str
     controller: admission.Controller
-    pool: pools.Pool
+    pool: connection_pool.Pool
     candidates: crash_candidates.CrashCandidates = dataclasses.field(
         default_factory=crash_candidates.CrashCandidates
     )
@@ -277,7 +277,7 @@
                 # In a bad phase it may fail what would crash it otherwise.
                 self._served(request.fingerprint)
             result = exchange.answered(status, site.controller.name)
-        except pools.NotSent as error:
+        except connection_pool.NotSent as error:
             exposed.discard(ticket.id)
             if isinstance(error.__cause__, ConnectionRefusedError):
                 self.crashed(site)
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -23,15 +23,15 @@
 from forklift import quarantine
 from forklift import rate_limits
 from forklift import settings
-from forklift.shell import beside
 from forklift.shell import clock as clocks
 from forklift.shell import configuration_loader
 from forklift.shell import control_channel
 from forklift.shell import control_protocols
 from forklift.shell import exchange
-from forklift.shell import forward
+from forklift.shell import forwarding
 from forklift.shell import framing
 from forklift.shell import ingress
+from forklift.shell import local_targets
 from forklift.shell import peer_connections
 from forklift.shell import peer_server
 from forklift.shell import quarantine_store
@@ -130,7 +130,7 @@
             _bounds(self.settings),
             self.settings.limits.far_cost,
         )
-        self.beside = beside.Beside(
+        self.beside = local_targets.Beside(
             self._names,
             self.program,
             self.clock,
@@ -194,7 +194,7 @@
             self.clock,
             self._standing,
         )
-        self.forwarder = forward.Forwarder(
+        self.forwarder = forwarding.Forwarder(
             own.name,
             self.boot,
             self.balancer,
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -3,7 +3,7 @@
 import forklift
 from forklift import invariants
 from forklift import report
-from forklift.shell import beside
+from forklift.shell import local_targets
 
 # Organisations that a dump lists by name.
 MAX_LISTED_ORGANISATIONS = 20
@@ -108,7 +108,9 @@
     )
 
 
-def _changes(proxy, site: beside.Site) -> tuple[report.EjectionChange, ...]:
+def _changes(
+    proxy, site: local_targets.Site
+) -> tuple[report.EjectionChange, ...]:
     offset = proxy.clock.wall() - proxy.clock.monotonic()
     return tuple(
         report.EjectionChange(
--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -11,10 +11,10 @@
 from forklift import heartbeats
 from forklift import invalid_input
 from forklift import settings
-from forklift.shell import beside as besides
 from forklift.shell import clock as clocks
-from forklift.shell import pool as pools
-from forklift.shell import probe
+from forklift.shell import connection_pool
+from forklift.shell import health_probe
+from forklift.shell import local_targets
 
 _log = structlog.get_logger(__name__)
 
@@ -39,7 +39,7 @@
         read: settings.Settings,
         names: header_fields.HeaderNames,
         active_catalog: catalog.ActiveCatalog,
-        beside: besides.Beside,
+        beside: local_targets.Beside,
         clock: clocks.SystemClock,
         on_change: Callable[[], None],
     ):
@@ -207,7 +207,7 @@
             )
             if self._beside.site_by_target or self.stopping or service is None:
                 return
-            found = await probe.ask(
+            found = await health_probe.ask(
                 own.target, service.health_path, self._names
             )
             usable = found is not None and found.target and found.slots
@@ -216,7 +216,7 @@
                 return
             await asyncio.sleep(DISCOVERY_RETRY_DELAY)
 
-    def _add_discovered(self, found: probe.Health) -> None:
+    def _add_discovered(self, found: health_probe.Health) -> None:
         own = self.settings
         now = self._clock.monotonic()
         if self.stopping or not self._incarnations.record_health_check(
@@ -236,7 +236,7 @@
             )
         )
 
-    def _add(self, said: heartbeats.Heartbeat) -> besides.Site:
+    def _add(self, said: heartbeats.Heartbeat) -> local_targets.Site:
         name = said.incarnation.name
         for other, site in list(self._beside.site_by_target.items()):
             if site.pool.address == said.address and other != name:
@@ -247,10 +247,10 @@
             said.service
         )
         most = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
-        site = besides.Site(
+        site = local_targets.Site(
             said.incarnation.target,
             admission.Controller(name, said.service, said.slots),
-            pools.Pool(said.address, most, self._clock.monotonic),
+            connection_pool.Pool(said.address, most, self._clock.monotonic),
         )
         self._beside.add(name, site)
         _log.info(
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -18,9 +18,9 @@
 from forklift import header_fields
 from forklift import invariants
 from forklift import messages
+from forklift.shell import connection_pool
 from forklift.shell import exchange
 from forklift.shell import http
-from forklift.shell import pool as pools
 from forklift.shell import tcp_stream
 
 _log = structlog.get_logger(__name__)
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        pool: pools.Pool,
+        pool: connection_pool.Pool,
         request: exchange.Request,
         expected: str,
         target: str,
@@ -120,7 +120,7 @@
             The HTTP status, once the answer was passed on whole.
 
         Raises:
-            pools.NotSent: The target did not run it.
+            connection_pool.NotSent: The target did not run it.
             AnswerBroken: It was sent, and there is no whole answer.
             tcp_stream.ConnectionLost: The sink is gone.
         """
@@ -129,7 +129,9 @@
         try:
             reason = launch()
             if reason is not None:
-                raise pools.NotSent(reason, "it may not start any more")
+                raise connection_pool.NotSent(
+                    reason, "it may not start any more"
+                )
             await self._exchange(connection, load, sink)
             whole = True
         finally:
@@ -323,12 +325,14 @@
     def _raise_not_run(self, response: h11.Response) -> None:
         status = response.status_code
         if status == 421:
-            raise pools.NotSent(
+            raise connection_pool.NotSent(
                 Reason.MISDIRECTED, "another target answers there"
             )
         headers = http.fields(response)
         if http.value(headers, self._header_names.not_run) is not None:
-            raise pools.NotSent(Reason.SHED, f"it refused with {status}")
+            raise connection_pool.NotSent(
+                Reason.SHED, f"it refused with {status}"
+            )
 
     def _check(self, response: h11.Response) -> Head:
         headers = http.fields(response)
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -23,7 +23,7 @@
 from forklift.platform import endpoints
 from forklift.platform import store as adapter
 from forklift.shell import client
-from forklift.shell import probe
+from forklift.shell import health_probe
 from forklift.shell import server
 from forklift.shell import upstream
 from test import helper
@@ -206,7 +206,7 @@
         )
     except h11.LocalProtocolError:
         return
-    found = probe._health(response, header_fields.DEFAULT)
+    found = health_probe._health(response, header_fields.DEFAULT)
     assert found.target.isprintable()
     assert 0 <= found.slots < 10**6
 
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -17,10 +17,10 @@
 from forklift import settings
 from forklift.platform import store as adapter
 from forklift.shell import client
-from forklift.shell import forward
-from forklift.shell import probe
+from forklift.shell import forwarding
+from forklift.shell import health_probe
+from forklift.shell import hedging
 from forklift.shell import proxy
-from forklift.shell import racing
 from forklift.shell import server
 from forklift.shell import shutdown
 from forklift.shell import store_follower
@@ -330,8 +330,8 @@
         assert [answer.status for answer in answers] == [503] * 5
         told = {come_back(answer) for answer in answers}
         assert len(told) == len(answers)
-        assert min(told) >= forward.RETRY_AFTER
-        assert max(told) <= forward.RETRY_AFTER * (
+        assert min(told) >= forwarding.RETRY_AFTER
+        assert max(told) <= forwarding.RETRY_AFTER * (
             1 + retries.RETRY_AFTER_JITTER
         )
 
@@ -405,7 +405,7 @@
     """Looks for a second target, by whether one was found."""
     looks = []
 
-    class Race(racing.Race):
+    class Race(hedging.Race):
         def __init__(self, turn, begin, second, note):
             def look(*arguments):
                 found = second(*arguments)
@@ -414,8 +414,8 @@
 
             super().__init__(turn, begin, look, note)
 
-    monkeypatch.setattr(racing, "PAUSE", 0.001)
-    monkeypatch.setattr(racing, "Race", Race)
+    monkeypatch.setattr(hedging, "PAUSE", 0.001)
+    monkeypatch.setattr(hedging, "Race", Race)
     return looks
 
 
@@ -880,10 +880,10 @@
     async def work():
         async with scripted.ScriptedTarget(name="t0") as target:
             target.leaving = True
-            found = await probe.ask(
+            found = await health_probe.ask(
                 target.address, "/health", header_fields.DEFAULT
             )
-            assert found == probe.Health(False, "t0", 4)
+            assert found == health_probe.Health(False, "t0", 4)
 
     helper.run(work())
 
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -158,7 +158,7 @@
         one.beside.site_by_target.clear()
         one.target_registry._incarnations = heartbeats.IncarnationTracker(5.0)
         one.target_registry._add_discovered(
-            target_registry.probe.Health(True, "t0", slots=3)
+            target_registry.health_probe.Health(True, "t0", slots=3)
         )
         site = one.beside.site_by_target["t0"]
         site.pool.address = fleet.targets[0].address
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -7,8 +7,8 @@
 from forklift import header_fields
 from forklift import messages
 from forklift.shell import clock
+from forklift.shell import connection_pool
 from forklift.shell import exchange
-from forklift.shell import pool as pools
 from forklift.shell import upstream
 from forklift_lab import scripted
 from test import helper
@@ -61,13 +61,15 @@
     return exchange.Request(**fields)
 
 
-async def go(pool: pools.Pool, sent: exchange.Request, sink: Sink) -> int:
+async def go(
+    pool: connection_pool.Pool, sent: exchange.Request, sink: Sink
+) -> int:
     run = upstream.Run(pool, sent, "t-1", "t-1", header_fields.DEFAULT, NOW)
     return await run.go(lambda: None, lambda: None, sink)
 
 
-def pool_of(target: scripted.ScriptedTarget) -> pools.Pool:
-    return pools.Pool(target.address, 10, NOW)
+def pool_of(target: scripted.ScriptedTarget) -> connection_pool.Pool:
+    return connection_pool.Pool(target.address, 10, NOW)
 
 
 def play(*script: str, requests: int = 1, **changes):
@@ -83,7 +85,10 @@
                 try:
                     sent = request(number, **changes)
                     outcomes.append(await go(pool, sent, sink))
-                except (pools.NotSent, upstream.AnswerBroken) as error:
+                except (
+                    connection_pool.NotSent,
+                    upstream.AnswerBroken,
+                ) as error:
                     outcomes.append((type(error), error.reason))
             pool.close()
             return target, pool, sinks, outcomes
@@ -143,7 +148,7 @@
 )
 def test_a_refusal_is_not_run(fault, reason):
     _, _, sinks, outcomes = play(fault)
-    assert outcomes == [(pools.NotSent, reason)]
+    assert outcomes == [(connection_pool.NotSent, reason)]
     assert not sinks[0].has_started
 
 
@@ -172,7 +177,7 @@
     async def work():
         async with scripted.ScriptedTarget() as target:
             pool = pool_of(target)
-        with pytest.raises(pools.NotSent) as caught:
+        with pytest.raises(connection_pool.NotSent) as caught:
             await go(pool, request(), Sink())
         assert caught.value.reason is Reason.CONNECT_FAILED
         assert pool.open == 0
@@ -191,7 +196,7 @@
                 header_fields.DEFAULT,
                 NOW,
             )
-            with pytest.raises(pools.NotSent) as caught:
+            with pytest.raises(connection_pool.NotSent) as caught:
                 await run.go(lambda: Reason.FENCED, lambda: None, Sink())
             assert caught.value.reason is Reason.FENCED
             assert target.received == []
