--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -231,7 +231,7 @@
     name = admin.proxy.target_registry.find(call.name)
     if name is None:
         return error_response(404, f"no target {call.name} beside this process")
-    admin.proxy.beside.drain(name)
+    admin.proxy.local_targets.drain(name)
     return json_response(reports.explain_target(admin.proxy, name))
 
 
--- a/forklift/shell/connection_pool.py
+++ b/forklift/shell/connection_pool.py
@@ -13,18 +13,18 @@
 
 # Seconds in which a target whose answer broke off must take a connection, or
 # refuse it as one that ended does; it is on this instance.
-LOOK_TIMEOUT = 0.25
+CHECK_TIMEOUT = 0.25
 # Seconds that a connection is kept which was made to look.
-LOOK_IDLE = 0.8
+CHECK_KEEP_ALIVE = 0.8
 # Seconds until a target beside must have taken a connection.
 CONNECT_TIMEOUT = 1.0
 # Work that must not repeat takes a connection only this soon after its last
 # use: a target may forget an idle one earlier than it says, and the reset
 # would leave the outcome unknown.
-IDLE_UNREPEATABLE = 2.0
+MAX_IDLE_NON_IDEMPOTENT = 2.0
 
 
-class NotSent(errors.ForkliftError):
+class NotRun(errors.ForkliftError):
     """The target did not run the request."""
 
     def __init__(self, reason: Reason, detail: str):
@@ -44,17 +44,19 @@
 class Pool:
     """Connections to one target, within its limit."""
 
-    def __init__(self, address: str, most: int, now: Callable[[], float]):
+    def __init__(
+        self, address: str, max_connections: int, now: Callable[[], float]
+    ):
         self.address = address
-        self.most = most
-        self.open = 0
-        self.made = 0
+        self.max_connections = max_connections
+        self.open_count = 0
+        self.created = 0
         self.reused = 0
         self._now = now
         self._idle: collections.deque[_Idle] = collections.deque()
         self._busy: set[tcp_stream.Connection] = set()
 
-    async def take(self, idempotent: bool) -> tcp_stream.Connection:
+    async def acquire(self, idempotent: bool) -> tcp_stream.Connection:
         """A connection that carries nothing.
 
         Raises:
@@ -64,17 +66,17 @@
         while self._idle:
             idle = self._idle.pop()
             usable = not idle.connection.closed and not idle.connection.buffered
-            fresh = self._now() - idle.since < IDLE_UNREPEATABLE
+            fresh = self._now() - idle.since < MAX_IDLE_NON_IDEMPOTENT
             if usable and (idempotent or fresh):
                 self.reused += 1
                 self._busy.add(idle.connection)
                 return idle.connection
             self.discard(idle.connection)
-        if self.open >= self.most:
-            raise NotSent(Reason.BUSY, "its connections are in use")
+        if self.open_count >= self.max_connections:
+            raise NotRun(Reason.BUSY, "its connections are in use")
         return await self._connect()
 
-    def give(self, connection: tcp_stream.Connection, idle: float) -> None:
+    def release(self, connection: tcp_stream.Connection, idle: float) -> None:
         """Returns a connection whose answer was whole and its own."""
         if idle <= 0 or connection.closed or connection.buffered:
             self.discard(connection)
@@ -85,48 +87,48 @@
 
     def discard(self, connection: tcp_stream.Connection) -> None:
         """Closes a connection; whatever it still brings is never read."""
-        self.open -= 1
+        self.open_count -= 1
         self._busy.discard(connection)
         connection.abort()
 
-    def end(self) -> None:
+    def close_all(self) -> None:
         """Closes all connections: nothing answers on them any more."""
-        self.close()
+        self.close_idle()
         for connection in self._busy:
             connection.abort()
 
-    def close(self) -> None:
+    def close_idle(self) -> None:
         """Closes all idle connections."""
         while self._idle:
             self.discard(self._idle.pop().connection)
 
-    async def refuses(self) -> bool:
+    async def is_refusing(self) -> bool:
         """Whether nothing listens at the target's address any more."""
-        if self.open >= self.most:
+        if self.open_count >= self.max_connections:
             return False
         try:
-            connection = await self._connect(LOOK_TIMEOUT)
-        except NotSent as error:
+            connection = await self._connect(CHECK_TIMEOUT)
+        except NotRun as error:
             return isinstance(error.__cause__, ConnectionRefusedError)
-        self.give(connection, LOOK_IDLE)
+        self.release(connection, CHECK_KEEP_ALIVE)
         return False
 
     async def _connect(
         self, timeout: float = CONNECT_TIMEOUT
     ) -> tcp_stream.Connection:
-        self.open += 1
+        self.open_count += 1
         try:
             connection = await asyncio.wait_for(
                 tcp_stream.connect(self.address), timeout
             )
         except (OSError, TimeoutError) as error:
-            self.open -= 1
+            self.open_count -= 1
             detail = str(error) or "timeout"
-            raise NotSent(Reason.CONNECT_FAILED, detail) from error
+            raise NotRun(Reason.CONNECT_FAILED, detail) from error
         except BaseException:
-            self.open -= 1
+            self.open_count -= 1
             raise
-        self.made += 1
+        self.created += 1
         self._busy.add(connection)
         return connection
 
--- a/forklift/shell/control_protocols.py
+++ b/forklift/shell/control_protocols.py
@@ -43,7 +43,7 @@
         clock: clocks.SystemClock,
         active_catalog: catalog.ActiveCatalog,
         balancer: load_balancer.LoadBalancer,
-        beside: local_targets.Beside,
+        targets: local_targets.LocalTargets,
         send: Callable[[str, messages.Control, bool], object],
         on_record_received: Callable[[bytes, str], None],
         on_target_gone: Callable[[str], None],
@@ -76,7 +76,7 @@
         self._clock = clock
         self._active_catalog = active_catalog
         self._balancer = balancer
-        self._beside = beside
+        self._local_targets = targets
         self._send_to = send
         self._on_record_received = on_record_received
         self._on_target_gone = on_target_gone
@@ -273,8 +273,8 @@
     def update_own_targets(self) -> bool:
         """Describes this process anew; True when that is news."""
         targets = tuple(
-            self._info(site.controller)
-            for site in self._beside.site_by_target.values()
+            self._info(local_target.controller)
+            for local_target in self._local_targets.by_name.values()
         )
         if targets == self.directory.own.targets:
             return False
--- a/forklift/shell/dispatch.py
+++ b/forklift/shell/dispatch.py
@@ -28,14 +28,14 @@
 DEADLINE_GRACE = 0.05
 # Bodies from this size on follow only once the gate lets the request start:
 # a refusal then costs the head alone, bytes.
-FOLLOWING_BYTES = 1024
+MIN_DEFERRED_BODY_BYTES = 1024
 # Other processes that are asked to reach a guard when the own path is silent.
-RELAYS = 2
+MAX_RELAYS = 2
 # Seconds after which to come back when the process of a target was lost.
 RETRY_AFTER = 0.5
 
 
-class Sender:
+class Dispatcher:
     """Sends requests of one entry to guards of other processes."""
 
     def __init__(
@@ -43,7 +43,7 @@
         name: str,
         boot: int,
         links: peer_connections.PeerConnections,
-        beside: local_targets.Beside,
+        targets: local_targets.LocalTargets,
         next_seq: Callable[[], int],
         clock,
         rng: random.Random,
@@ -51,7 +51,7 @@
         self._name = name
         self._boot = boot
         self._links = links
-        self._beside = beside
+        self._local_targets = targets
         self._next_seq = next_seq
         self._clock = clock
         self._rng = rng
@@ -182,7 +182,7 @@
     async def _fence_around(self, process: str, seq: int, to_boot: int) -> bool:
         """Asks the guard through others, as the own path is silent."""
         names = self._links.connected_except(process)
-        chosen = self._rng.sample(names, min(RELAYS, len(names)))
+        chosen = self._rng.sample(names, min(MAX_RELAYS, len(names)))
         asked = [self._relayed(name, process, seq, to_boot) for name in chosen]
         for answer in asyncio.as_completed(asked):
             if await answer:
@@ -199,11 +199,11 @@
             return False
         return await link.fence(self._boot, seq, to_boot, process)
 
-    async def relay(self, fence: messages.FenceRequest) -> bool:
+    async def relay_fence(self, fence: messages.FenceRequest) -> bool:
         """Passes another entry's question on to a guard."""
         if fence.forward_to == self._name:
             own = fence.to_boot == self._boot
-            return own and self._beside.fence((fence.boot, fence.seq))
+            return own and self._local_targets.fence((fence.boot, fence.seq))
         try:
             link = await self._links.get(fence.forward_to)
         except errors.PeerUnreachable:
@@ -219,7 +219,7 @@
     remaining: float,
     required_health: admission.RequiredHealth,
 ) -> messages.RequestStart:
-    small = len(request.body.prefix) < FOLLOWING_BYTES
+    small = len(request.body.prefix) < MIN_DEFERRED_BODY_BYTES
     complete = request.body.complete and small
     return messages.RequestStart(
         id=link.next_stream_id(),
--- a/forklift/shell/forwarding.py
+++ b/forklift/shell/forwarding.py
@@ -36,7 +36,7 @@
 RETRY_AFTER = 0.5
 # Part of the budget of repeats up to which second sends are made: the rest is
 # left to requests that failed.
-HEDGE_SHARE = 0.85
+HEDGE_BUDGET_FRACTION = 0.85
 _ENDLESS = shutdown.Deadlines(math.inf, math.inf, math.inf)
 
 
@@ -48,7 +48,7 @@
         name: str,
         boot: int,
         balancer: load_balancer.LoadBalancer,
-        beside: local_targets.Beside,
+        targets: local_targets.LocalTargets,
         links: peer_connections.PeerConnections,
         program,
         clock,
@@ -59,19 +59,19 @@
         self.quarantine = quarantine or quarantines.Quarantine()
         self.boot = boot
         self.balancer = balancer
-        self.beside = beside
+        self.local_targets = targets
         self.program = program
         self.clock = clock
         self.rng = rng
         self._seqs = itertools.count(1)
-        self.sender = dispatch.Sender(
-            name, boot, links, beside, self.next_seq, clock, rng
+        self.dispatcher = dispatch.Dispatcher(
+            name, boot, links, targets, self.next_seq, clock, rng
         )
-        self.sends = 0
-        self.repeats = 0
+        self.attempts = 0
+        self.retries = 0
         self.hedges = 0
-        self.bounds = _ENDLESS
-        self._passages: set[_Passage] = set()
+        self.stop_deadlines = _ENDLESS
+        self._in_flight: set[_ForwardedRequest] = set()
 
     def next_seq(self) -> int:
         """A request number never used before in this boot."""
@@ -86,14 +86,14 @@
             tcp_stream.ConnectionLost: The sink is gone.
             asyncio.CancelledError: The caller gave up.
         """
-        passage = _Passage(self, request, sink)
-        self._passages.add(passage)
+        passage = _ForwardedRequest(self, request, sink)
+        self._in_flight.add(passage)
         try:
             return await passage.run()
         finally:
-            self._passages.discard(passage)
+            self._in_flight.discard(passage)
 
-    def end(self, bounds: shutdown.Deadlines) -> None:
+    def set_stop_deadlines(self, bounds: shutdown.Deadlines) -> None:
         """This process ends: every request has its answer before.
 
         What no target has by then is refused, which is true; what one has is
@@ -103,12 +103,12 @@
         Args:
             bounds: Until when each has its answer.
         """
-        self.bounds = bounds
-        for passage in self._passages:
-            passage.end(bounds)
+        self.stop_deadlines = bounds
+        for passage in self._in_flight:
+            passage.set_stop_deadlines(bounds)
 
 
-class _Passage:
+class _ForwardedRequest:
     """One request, from its entry until its final result."""
 
     def __init__(
@@ -124,9 +124,9 @@
         self._retry_state = retries.RetryState(
             self._now(),
             request.deadline,
-            process_exits_at=forwarder.bounds.reject_at,
+            process_exits_at=forwarder.stop_deadlines.reject_at,
         )
-        self._bounds = forwarder.bounds
+        self._bounds = forwarder.stop_deadlines
         self._until: asyncio.Timeout | None = None
         # Whether a target may have it.
         self._asking = False
@@ -161,7 +161,7 @@
         ending = dataclasses.replace(result.ending, retry_after=after)
         return dataclasses.replace(result, ending=ending)
 
-    def end(self, bounds: shutdown.Deadlines) -> None:
+    def set_stop_deadlines(self, bounds: shutdown.Deadlines) -> None:
         """The process ends: this request must be over by then."""
         self._bounds = bounds
         self._retry_state.process_exits_at = bounds.reject_at
@@ -326,7 +326,7 @@
 
     # What became of an attempt.
 
-    def _goes_on(self, tried: hedging.Tried) -> bool:
+    def _goes_on(self, tried: hedging.AttemptResult) -> bool:
         """Takes note of an attempt; whether another target is tried."""
         ending, target = tried.result.ending, tried.selection.target
         if ending.outcome is Outcome.NOT_RUN:
@@ -341,7 +341,7 @@
             return False
         if not self._again or not self._worth_repeating(ending):
             return False
-        self._forwarder.repeats += 1
+        self._forwarder.retries += 1
         _log.info(
             "repeat",
             request=self._request.id,
@@ -372,9 +372,11 @@
 
     # One attempt, or two beside each other.
 
-    async def _send(self, first: load_balancer.Selection) -> hedging.Tried:
+    async def _send(
+        self, first: load_balancer.Selection
+    ) -> hedging.AttemptResult:
         """Makes an attempt, and a second beside it where it takes long."""
-        race = hedging.Race(
+        race = hedging.HedgedRequest(
             self._claim, self._begin, self._second, self._goes_on
         )
         return await race.run(first, self._patience())
@@ -425,7 +427,7 @@
             return None
         if not self._retry_state.budget_charged:
             self._retry_state.budget_charged = self._balancer.spend_retry(
-                service, now, HEDGE_SHARE, self._objective
+                service, now, HEDGE_BUDGET_FRACTION, self._objective
             )
         if not self._retry_state.budget_charged:
             self._balancer.finish_attempt(service, second, None, now)
@@ -447,7 +449,7 @@
         buffered: response_buffer.BufferedResponse,
         second: bool,
     ) -> exchange.Result:
-        self._forwarder.sends += 1
+        self._forwarder.attempts += 1
         required_health = max(
             self._retry_state.required_health(self._now()),
             selection.required_health,
@@ -461,7 +463,7 @@
                     selection, buffered, required_health, start_by
                 )
             else:
-                result = await self._forwarder.sender.send(
+                result = await self._forwarder.dispatcher.send(
                     self._request,
                     selection,
                     buffered,
@@ -507,6 +509,6 @@
             start_by,
             self._alone,
         )
-        return await self._forwarder.beside.run(
+        return await self._forwarder.local_targets.run(
             selection.target, ticket, request, sink
         )
--- a/forklift/shell/health_probe.py
+++ b/forklift/shell/health_probe.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Health:
+class ProbeResult:
     """What a target's health endpoint said.
 
     Attributes:
@@ -32,14 +32,14 @@
         slots: Requests that it runs at once; 0 where it told none.
     """
 
-    well: bool
+    healthy: bool
     target: str
     slots: int = 0
 
 
-async def ask(
+async def check(
     address: str, path: str, header_names: header_fields.HeaderNames
-) -> Health | None:
+) -> ProbeResult | None:
     """Asks a health endpoint; a hint only, as it may lie.
 
     Returns:
@@ -63,7 +63,7 @@
     address: str,
     path: str,
     header_names: header_fields.HeaderNames,
-) -> Health | None:
+) -> ProbeResult | None:
     protocol = h11.Connection(h11.CLIENT)
     headers = [("host", address), ("connection", "close")]
     request = h11.Request(method="GET", target=path, headers=headers)
@@ -81,7 +81,7 @@
 
 def _health(
     response: h11.Response, header_names: header_fields.HeaderNames
-) -> Health:
+) -> ProbeResult:
     headers = http.fields(response)
     name = http.value(headers, header_names.target) or b""
     if not _NAME.fullmatch(name):
@@ -91,4 +91,4 @@
         name = b""
     load = _LOAD.fullmatch(http.value(headers, header_names.load) or b"")
     slots = int(load[1]) if load else 0
-    return Health(response.status_code < 400, name.decode("ascii"), slots)
+    return ProbeResult(response.status_code < 400, name.decode("ascii"), slots)
--- a/forklift/shell/hedging.py
+++ b/forklift/shell/hedging.py
@@ -16,7 +16,7 @@
 
 # Seconds until a second attempt is tried again where no sound target was free
 # or the budget was used up: a slot is free again within about that time.
-PAUSE = 0.1
+HEDGE_RETRY_DELAY = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
@@ -35,14 +35,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Tried:
+class AttemptResult:
     """An attempt that is over."""
 
     selection: load_balancer.Selection
     result: exchange.Result
 
 
-class Race:
+class HedgedRequest:
     """The attempts of one request that are under way."""
 
     def __init__(
@@ -52,7 +52,7 @@
         second: Callable[
             [load_balancer.Selection, int], load_balancer.Selection | None
         ],
-        note: Callable[[Tried], object],
+        note: Callable[[AttemptResult], object],
     ):
         """Makes a race without attempts.
 
@@ -71,7 +71,7 @@
 
     async def run(
         self, first: load_balancer.Selection, patience: float | None
-    ) -> Tried:
+    ) -> AttemptResult:
         """Waits for the attempt that answers, or for the last to fail.
 
         Args:
@@ -90,14 +90,14 @@
                     patience = self._hedge(first)
                     continue
                 attempt = self._attempt_by_task.pop(done.pop())
-                tried = Tried(attempt.selection, attempt.task.result())
+                tried = AttemptResult(attempt.selection, attempt.task.result())
                 answers = self._claim.owner is attempt.buffered
                 if answers or not self._attempt_by_task:
                     return tried
                 self._note(tried)
                 ending = tried.result.ending
                 if ending.outcome is messages.Outcome.NOT_RUN:
-                    patience = PAUSE
+                    patience = HEDGE_RETRY_DELAY
         finally:
             await self._cancel()
 
@@ -110,7 +110,7 @@
             return None
         second = self._second(first, len(self._attempt_by_task))
         if second is None:
-            return PAUSE
+            return HEDGE_RETRY_DELAY
         self._add(self._begin(second, True))
         return None
 
--- a/forklift/shell/local_targets.py
+++ b/forklift/shell/local_targets.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Site:
+class LocalTarget:
     """One life of a target beside this process, and the way to it.
 
     Attributes:
@@ -83,7 +83,7 @@
             await self._sink.end()
 
 
-class Beside:
+class LocalTargets:
     """The asyncio side of the gates."""
 
     def __init__(
@@ -103,7 +103,7 @@
         self._failing = failing
         self._quarantine = quarantine or quarantines.Quarantine()
         self._on_evidence = on_evidence
-        self.site_by_target: dict[str, Site] = {}
+        self.by_name: dict[str, LocalTarget] = {}
         self.fences = fences.Fences()
         # Names that targets had before the time of their birth was told.
         self._name_by_earlier: dict[str, str] = {}
@@ -113,40 +113,42 @@
 
     # Targets.
 
-    def add(self, name: str, site: Site) -> None:
+    def add(self, name: str, local_target: LocalTarget) -> None:
         """A target is there."""
-        self.site_by_target[name] = site
+        self.by_name[name] = local_target
 
     def rename(self, before: str, name: str) -> None:
         """The name of a target's life is known now; it goes on as it was.
 
         Others ask for it by the earlier one until they have heard.
         """
-        site = self.site_by_target.pop(before)
-        site.controller.name = name
-        self.site_by_target[name] = site
+        local_target = self.by_name.pop(before)
+        local_target.controller.name = name
+        self.by_name[name] = local_target
         self._name_by_earlier = {before: name}
 
     def drain(self, name: str) -> None:
         """A target takes no new request from now on."""
-        site = self.site_by_target[name]
-        self._settle(site, site.controller.drain())
+        local_target = self.by_name[name]
+        self._settle(local_target, local_target.controller.drain())
 
     def pause(self, name: str) -> None:
         """This process stops: a target takes no new request through it."""
-        site = self.site_by_target[name]
-        self._settle(site, site.controller.pause())
+        local_target = self.by_name[name]
+        self._settle(local_target, local_target.controller.pause())
 
     def leave(self, name: str) -> None:
         """A target is gone."""
-        site = self.site_by_target[name]
-        self._settle(site, site.controller.leave())
+        local_target = self.by_name[name]
+        self._settle(local_target, local_target.controller.leave())
 
     def tick(self, now: float) -> None:
         """Lets time pass for every target."""
-        for site in self.site_by_target.values():
-            version = site.controller.version
-            self._settle(site, site.controller.tick(now), version)
+        for local_target in self.by_name.values():
+            version = local_target.controller.version
+            self._settle(
+                local_target, local_target.controller.tick(now), version
+            )
 
     # Requests.
 
@@ -167,8 +169,8 @@
             tcp_stream.ConnectionLost: The sink is gone.
         """
         name = self._name_by_earlier.get(target, target)
-        site = self.site_by_target.get(name)
-        if site is None:
+        local_target = self.by_name.get(name)
+        if local_target is None:
             return exchange.not_run(Reason.UNKNOWN_TARGET)
         if not self.fences.may_start(ticket.id):
             return self._fenced(ticket)
@@ -180,9 +182,11 @@
         if self._quarantine.is_suspected(fingerprint, now):
             ticket = dataclasses.replace(ticket, exclusive=True)
         if ticket.idempotent:
-            return await self._admitted(site, ticket, request, sink)
+            return await self._admitted(local_target, ticket, request, sink)
         kept = _Leaving(sink)
-        task = asyncio.create_task(self._admitted(site, ticket, request, kept))
+        task = asyncio.create_task(
+            self._admitted(local_target, ticket, request, kept)
+        )
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
@@ -210,28 +214,30 @@
 
     async def _admitted(
         self,
-        site: Site,
+        local_target: LocalTarget,
         ticket: admission.Ticket,
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
         self.running += 1
         try:
-            decision = site.controller.admit(ticket, self._clock.monotonic())
+            decision = local_target.controller.admit(
+                ticket, self._clock.monotonic()
+            )
             if isinstance(decision, admission.Wait):
-                decision = await self._wait(site, ticket)
+                decision = await self._wait(local_target, ticket)
             if isinstance(decision, admission.Refuse):
                 self.fences.check_not_started(ticket.id)
-                load = self._load(site, request.route)
+                load = self._load(local_target, request.route)
                 return exchange.not_run(
                     decision.reason, decision.retry_after, load
                 )
-            return await self._started(site, ticket, request, sink)
+            return await self._started(local_target, ticket, request, sink)
         finally:
             self.running -= 1
 
     async def _wait(
-        self, site: Site, ticket: admission.Ticket
+        self, local_target: LocalTarget, ticket: admission.Ticket
     ) -> admission.Decision:
         future = asyncio.get_running_loop().create_future()
         self._decision_by_id[ticket.id] = future
@@ -240,64 +246,66 @@
         except asyncio.CancelledError:
             started = future.done() and not future.cancelled()
             if started and isinstance(future.result(), admission.Start):
-                self._finish(site, ticket, None)
-            site.controller.cancel(ticket)
+                self._finish(local_target, ticket, None)
+            local_target.controller.cancel(ticket)
             raise
         finally:
             self._decision_by_id.pop(ticket.id, None)
 
     async def _started(
         self,
-        site: Site,
+        local_target: LocalTarget,
         ticket: admission.Ticket,
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
-        run = upstream.Run(
-            site.pool,
+        run = upstream.UpstreamRequest(
+            local_target.pool,
             request,
-            site.target,
-            site.controller.name,
+            local_target.target,
+            local_target.controller.name,
             self._header_names,
             self._clock.monotonic,
         )
         sign: Signal | None = None
-        exposed = site.candidates
+        exposed = local_target.candidates
         try:
             remaining = ticket.deadline - self._clock.monotonic()
             async with asyncio.timeout(max(0.0, remaining)):
-                status = await run.go(
-                    lambda: self._launch(site, ticket, request.fingerprint),
-                    lambda: self._load(site, request.route),
+                status = await run.execute(
+                    lambda: self._launch(
+                        local_target, ticket, request.fingerprint
+                    ),
+                    lambda: self._load(local_target, request.route),
                     sink,
                 )
             exposed.discard(ticket.id)
-            sign = self._sign(site.controller.service, status)
+            sign = self._sign(local_target.controller.service, status)
             if sign is Signal.WELL:
                 # In a bad phase it may fail what would crash it otherwise.
                 self._served(request.fingerprint)
-            result = exchange.answered(status, site.controller.name)
-        except connection_pool.NotSent as error:
+            result = exchange.answered(status, local_target.controller.name)
+        except connection_pool.NotRun as error:
             exposed.discard(ticket.id)
             if isinstance(error.__cause__, ConnectionRefusedError):
-                self.crashed(site)
+                self.handle_crash(local_target)
             sign = _SIGN_BY_REASON.get(error.reason)
             now = self._clock.monotonic()
             held = self._quarantine.quarantined_for(request.fingerprint, now)
             result = exchange.not_run(error.reason, held)
-        except upstream.AnswerBroken as error:
+        except upstream.IncompleteResponse as error:
             sign = Signal.BROKEN
             reason = error.reason
             exposed.mark_ended(ticket.id, self._clock.monotonic())
             if reason is Reason.TARGET_BROKE and await self._ended(
-                site, ticket
+                local_target, ticket
             ):
                 reason = Reason.TARGET_CRASHED
             result = exchange.unknown(reason)
             _log.warning(
                 "answer_broken",
                 request=request.id,
-                target=site.controller.name,
+                target=local_target.controller.name,
                 reason=str(reason),
                 detail=str(error),
             )
@@ -306,32 +314,39 @@
             result = self._timed_out(ticket)
         finally:
             exposed.mark_ended(ticket.id, self._clock.monotonic())
-            self._finish(site, ticket, sign)
-        return dataclasses.replace(result, load=self._load(site, request.route))
+            self._finish(local_target, ticket, sign)
+        return dataclasses.replace(
+            result, load=self._load(local_target, request.route)
+        )
 
-    async def _ended(self, site: Site, ticket: admission.Ticket) -> bool:
+    async def _ended(
+        self, local_target: LocalTarget, ticket: admission.Ticket
+    ) -> bool:
         """Whether a target whose answer broke off has ended.
 
         Most that break answers off live on.
         """
-        if not site.candidates.contains(ticket.id):
+        if not local_target.candidates.contains(ticket.id):
             # Another request that it ran found out already.
             return True
-        if await site.pool.refuses() and site.candidates.contains(ticket.id):
-            self.crashed(site)
-        return not site.candidates.contains(ticket.id)
-
-    def crashed(self, site: Site) -> None:
+        if (
+            await local_target.pool.is_refusing()
+            and local_target.candidates.contains(ticket.id)
+        ):
+            self.handle_crash(local_target)
+        return not local_target.candidates.contains(ticket.id)
+
+    def handle_crash(self, local_target: LocalTarget) -> None:
         """A target ended; unless it said before that it leaves, it crashed."""
         now = self._clock.monotonic()
-        running = site.candidates.take_fingerprints(now)
-        if not running or site.controller.target_leaving:
+        running = local_target.candidates.take_fingerprints(now)
+        if not running or local_target.controller.target_leaving:
             return
         crash = secrets.randbits(_CRASH_BITS)
         self._quarantine.record_crash(running, crash, now)
         _log.warning(
             "target_crashed",
-            target=site.controller.name,
+            target=local_target.controller.name,
             running=[one.hex() for one in running],
             held=[
                 one.hex()
@@ -348,11 +363,14 @@
             self._on_evidence()
 
     def _launch(
-        self, site: Site, ticket: admission.Ticket, fingerprint: bytes
+        self,
+        local_target: LocalTarget,
+        ticket: admission.Ticket,
+        fingerprint: bytes,
     ) -> Reason | None:
         """The first byte is about to be sent: the point of no return."""
         now = self._clock.monotonic()
-        if site.controller.closed:
+        if local_target.controller.closed:
             return Reason.DRAINING
         if ticket.deadline <= now:
             return Reason.DEADLINE
@@ -361,14 +379,14 @@
             return Reason.QUARANTINED
         if not self.fences.try_start(ticket.id, now):
             return Reason.FENCED
-        site.candidates.add(ticket.id, fingerprint, now)
+        local_target.candidates.add(ticket.id, fingerprint, now)
         return None
 
-    def _load(self, site: Site, route: str) -> messages.Load:
+    def _load(self, local_target: LocalTarget, route: str) -> messages.Load:
         now = self._clock.monotonic()
-        failing = self._failing(site.controller.service, now)
+        failing = self._failing(local_target.controller.service, now)
         return msgspec.structs.replace(
-            site.controller.load(now, route), failure_percent=failing
+            local_target.controller.load(now, route), failure_percent=failing
         )
 
     def _sign(self, service: str, status: int) -> Signal:
@@ -381,15 +399,22 @@
         return exchange.not_run(Reason.DEADLINE)
 
     def _finish(
-        self, site: Site, ticket: admission.Ticket, sign: Signal | None
+        self,
+        local_target: LocalTarget,
+        ticket: admission.Ticket,
+        sign: Signal | None,
     ) -> None:
-        version = site.controller.version
+        version = local_target.controller.version
         now = self._clock.monotonic()
-        self._settle(site, site.controller.finish(ticket, sign, now), version)
+        self._settle(
+            local_target,
+            local_target.controller.finish(ticket, sign, now),
+            version,
+        )
 
     def _settle(
         self,
-        site: Site,
+        local_target: LocalTarget,
         decisions: list[admission.Decision],
         version: int = -1,
     ) -> None:
@@ -400,6 +425,6 @@
                 future.set_result(decision)
             elif isinstance(decision, admission.Start):
                 # The waiter is gone; its slot goes to the next.
-                self._finish(site, decision.ticket, None)
-        if version != site.controller.version:
-            self._on_change(site.controller)
+                self._finish(local_target, decision.ticket, None)
+        if version != local_target.controller.version:
+            self._on_change(local_target.controller)
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -130,7 +130,7 @@
             _bounds(self.settings),
             self.settings.limits.far_cost,
         )
-        self.beside = local_targets.Beside(
+        self.local_targets = local_targets.LocalTargets(
             self._names,
             self.program,
             self.clock,
@@ -143,7 +143,7 @@
             self.settings,
             self._names,
             self.active_catalog,
-            self.beside,
+            self.local_targets,
             self.clock,
             lambda: self.control_protocols.publish_targets(),
         )
@@ -162,7 +162,7 @@
             self.clock,
             self.active_catalog,
             self.balancer,
-            self.beside,
+            self.local_targets,
             self.control_channel.send,
             self.configuration_loader.receive,
             self.target_registry.record_remembered_leave,
@@ -198,7 +198,7 @@
             own.name,
             self.boot,
             self.balancer,
-            self.beside,
+            self.local_targets,
             self.peer_connections,
             self.program,
             self.clock,
@@ -299,7 +299,7 @@
         self.stop_deadlines = shutdown.extended_deadlines(
             self.stop_deadlines, now, grace
         )
-        self.forwarder.end(self.stop_deadlines)
+        self.forwarder.set_stop_deadlines(self.stop_deadlines)
         _log.info("stop_asked_again", running=self.running())
 
     def stop_accepting(self) -> None:
@@ -318,8 +318,8 @@
         for served in list(self.served):
             served.close()
         self.peer_connections.close()
-        for site in self.beside.site_by_target.values():
-            site.pool.close()
+        for local_target in self.local_targets.by_name.values():
+            local_target.pool.close_idle()
         await self.control_channel.close()
         self.store.close()
 
@@ -335,7 +335,7 @@
     def running(self) -> int:
         """Requests in flight in any role."""
         served = sum(1 for served in self.served if served.busy)
-        return self.ingress.running + self.beside.running + served
+        return self.ingress.running + self.local_targets.running + served
 
     def pending_responses(self) -> int:
         """Answers that this process still owes, in any role.
@@ -344,7 +344,11 @@
         that the system has not taken.
         """
         served = sum(1 for served in self.served if served.busy)
-        return self.ingress.pending_connections + self.beside.running + served
+        return (
+            self.ingress.pending_connections
+            + self.local_targets.running
+            + served
+        )
 
     def ready(self) -> bool:
         """Whether callers should be sent here."""
@@ -493,13 +497,15 @@
             now + start.start_within,
             start.exclusive,
         )
-        return await self.beside.run(start.target, ticket, request, answerer)
+        return await self.local_targets.run(
+            start.target, ticket, request, answerer
+        )
 
     def _fence(self, fence: messages.FenceRequest) -> bool:
         if fence.to_boot != self.boot:
             # An earlier run of this process may have started it.
             return False
-        return self.beside.fence((fence.boot, fence.seq))
+        return self.local_targets.fence((fence.boot, fence.seq))
 
     async def _listen_peers(self, address: str) -> asyncio.Server:
         host, port = tcp_stream.split_address(address)
@@ -519,7 +525,7 @@
             self._serve_peer,
             self._fence,
             lambda: _log.warning("peer_refused", peer=frames.peer),
-            self.forwarder.sender.relay,
+            self.forwarder.dispatcher.relay_fence,
         )
         lost = frames.on_lost
 
@@ -568,7 +574,7 @@
         """Whether there is anything that a tick looks after."""
         return bool(
             self.ingress.running
-            or self.beside.running
+            or self.local_targets.running
             or self.balancer.reachability.needs_checks
             or self.control_protocols.is_active(self.clock.monotonic())
         )
@@ -604,7 +610,7 @@
         self._observe()
         now = self.clock.monotonic()
         self.configuration_loader.activate_pending()
-        self.beside.tick(now)
+        self.local_targets.tick(now)
         self.peer_connections.tick()
         self._look_beside(now)
         if now >= self._next_beat:
@@ -628,8 +634,8 @@
         This entry sees to it as long as it has callers. Where it has none, all
         others go on with targets that they know to be well.
         """
-        for site in self.beside.site_by_target.values():
-            load = site.controller.load(now)
+        for local_target in self.local_targets.by_name.values():
+            load = local_target.controller.load(now)
             usable = load.state in _ASKS_FOR_WORK
             if (
                 usable
@@ -637,14 +643,16 @@
                 and self.active_catalog.loaded
             ):
                 self.control_protocols.announce_idle_target(
-                    site.controller.name, load
+                    local_target.controller.name, load
                 )
 
     def _look_beside(self, now: float) -> None:
         """Keeps the choice of targets up to date on those beside."""
-        for site in self.beside.site_by_target.values():
+        for local_target in self.local_targets.by_name.values():
             self.balancer.update_load(
-                site.controller.name, site.controller.load(now), now
+                local_target.controller.name,
+                local_target.controller.load(now),
+                now,
             )
 
     def _observe(self) -> None:
@@ -659,8 +667,8 @@
             return
         self.incarnation += 1
         _log.warning("paused", seconds=round(paused, 2))
-        for site in self.beside.site_by_target.values():
-            site.controller.exclude_pause(paused)
+        for local_target in self.local_targets.by_name.values():
+            local_target.controller.exclude_pause(paused)
         self.control_protocols.handle_pause()
 
 
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -32,14 +32,14 @@
     return report.StateDump(
         build_status(proxy),
         tuple(
-            explain_target(proxy, name) for name in proxy.beside.site_by_target
+            explain_target(proxy, name) for name in proxy.local_targets.by_name
         ),
         requests,
         {
             service: proxy.balancer.retries_refused(service)
             for service in proxy.active_catalog.catalog.services_by_name
         },
-        {"all": proxy.forwarder.sends, "repeats": proxy.forwarder.repeats},
+        {"all": proxy.forwarder.attempts, "repeats": proxy.forwarder.retries},
         proxy.running(),
         proxy.ingress.connections,
         proxy.incarnation,
@@ -86,10 +86,10 @@
 
 def explain_target(proxy, name: str) -> report.TargetExplanation | None:
     """Why a target beside this process stands so; None when not here."""
-    site = proxy.beside.site_by_target.get(name)
-    if site is None:
+    local_target = proxy.local_targets.by_name.get(name)
+    if local_target is None:
         return None
-    found = site.controller
+    found = local_target.controller
     load = found.load(proxy.clock.monotonic())
     return report.TargetExplanation(
         name,
@@ -104,12 +104,12 @@
         load.unhealthy_probability,
         found.latencies.medians_by_route(),
         {str(r): count for r, count in found.refusals_by_reason.items()},
-        _changes(proxy, site),
+        _changes(proxy, local_target),
     )
 
 
 def _changes(
-    proxy, site: local_targets.Site
+    proxy, local_target: local_targets.LocalTarget
 ) -> tuple[report.EjectionChange, ...]:
     offset = proxy.clock.wall() - proxy.clock.monotonic()
     return tuple(
@@ -119,7 +119,7 @@
             str(change.signal),
             change.unhealthy_probability,
         )
-        for change in site.controller.health.changes
+        for change in local_target.controller.health.changes
     )
 
 
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -74,7 +74,7 @@
     proxy.ingress.stopping = True
     _log.info("stopping", running=proxy.running())
     proxy.target_registry.pause_targets()
-    proxy.forwarder.end(proxy.stop_deadlines)
+    proxy.forwarder.set_stop_deadlines(proxy.stop_deadlines)
     while proxy.clock.monotonic() < lame_until:
         await asyncio.sleep(POLL_INTERVAL)
     proxy.stop_accepting()
--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -39,14 +39,14 @@
         read: settings.Settings,
         names: header_fields.HeaderNames,
         active_catalog: catalog.ActiveCatalog,
-        beside: local_targets.Beside,
+        targets: local_targets.LocalTargets,
         clock: clocks.SystemClock,
         on_change: Callable[[], None],
     ):
         self.settings = read
         self._names = names
         self._active_catalog = active_catalog
-        self._beside = beside
+        self._local_targets = targets
         self._clock = clock
         self._on_change = on_change
         self._heard_by_target: dict[str, float] = {}
@@ -81,18 +81,18 @@
         if before is not None and before != name:
             self._succeed(before, name, word)
         self._heard_by_target[name] = now
-        site = self._beside.site_by_target.get(name)
-        if site is None:
+        local_target = self._local_targets.by_name.get(name)
+        if local_target is None:
             if said.leaving:
                 # Never used here, so there is nothing to end.
                 self._incarnations.record_leave(said.incarnation, now)
                 return
-            site = self._add(said)
+            local_target = self._add(said)
         elif said.leaving:
-            self._beside.drain(name)
-        site.controller.cold_until = now + said.cold
+            self._local_targets.drain(name)
+        local_target.controller.cold_until = now + said.cold
         if self.stopping:
-            self._beside.pause(name)
+            self._local_targets.pause(name)
 
     def record_leave(self, incarnation: heartbeats.TargetIncarnation) -> None:
         """A target says that it is about to end, or has."""
@@ -114,13 +114,13 @@
     def find(self, name: str) -> str | None:
         """Name under which a target beside is kept, by any of its names."""
         for found in (name, self._incarnations.current_name(name)):
-            if found in self._beside.site_by_target:
+            if found in self._local_targets.by_name:
                 return found
         return None
 
     def _leave(self, name: str | None) -> None:
-        if name is not None and name in self._beside.site_by_target:
-            self._beside.leave(name)
+        if name is not None and name in self._local_targets.by_name:
+            self._local_targets.leave(name)
             _log.info("target_left", target=name)
 
     def _is_served(self, service: str) -> bool:
@@ -137,10 +137,10 @@
         self, before: str, name: str, word: heartbeats.HeartbeatKind
     ) -> None:
         """Another life of a target counts from now on, or its name is known."""
-        if before not in self._beside.site_by_target:
+        if before not in self._local_targets.by_name:
             return
         if word is heartbeats.HeartbeatKind.FURTHER:
-            self._beside.rename(before, name)
+            self._local_targets.rename(before, name)
             self._heard_by_target.pop(before, None)
             self._on_change()
             return
@@ -150,30 +150,32 @@
 
     def _crashed(self, name: str) -> None:
         """A target is gone that did not say that it leaves."""
-        site = self._beside.site_by_target.get(name)
-        if site is not None:
-            self._beside.crashed(site)
+        local_target = self._local_targets.by_name.get(name)
+        if local_target is not None:
+            self._local_targets.handle_crash(local_target)
 
     def _remove(self, name: str) -> None:
         """Ends what is known of a target; what runs there has no answer."""
         self._heard_by_target.pop(name, None)
-        if name in self._beside.site_by_target:
-            self._beside.leave(name)
-            self._beside.site_by_target.pop(name).pool.end()
+        if name in self._local_targets.by_name:
+            self._local_targets.leave(name)
+            self._local_targets.by_name.pop(name).pool.close_all()
 
     def pause_targets(self) -> None:
         """This process stops: its targets take nothing new."""
         self.stopping = True
-        for name in list(self._beside.site_by_target):
-            self._beside.pause(name)
+        for name in list(self._local_targets.by_name):
+            self._local_targets.pause(name)
 
     def apply_catalog(self, current: catalog.Catalog) -> None:
         """Takes the services of a new configuration, and their bounds."""
-        for name, site in list(self._beside.site_by_target.items()):
-            service = current.services_by_name.get(site.controller.service)
+        for name, local_target in list(self._local_targets.by_name.items()):
+            service = current.services_by_name.get(
+                local_target.controller.service
+            )
             if service is not None:
-                site.pool.most = service.max_connections
-            elif not self._is_served(site.controller.service):
+                local_target.pool.max_connections = service.max_connections
+            elif not self._is_served(local_target.controller.service):
                 self._remove(name)
                 self._on_change()
 
@@ -184,10 +186,10 @@
             if now - heard <= lease:
                 continue
             del self._heard_by_target[name]
-            site = self._beside.site_by_target.pop(name, None)
-            if site is not None:
+            local_target = self._local_targets.by_name.pop(name, None)
+            if local_target is not None:
                 _log.warning("target_expired", target=name)
-                site.pool.close()
+                local_target.pool.close_idle()
                 self._on_change()
 
     async def discover_local_target(self) -> None:
@@ -205,18 +207,18 @@
             service = self._active_catalog.catalog.services_by_name.get(
                 own.service
             )
-            if self._beside.site_by_target or self.stopping or service is None:
+            if self._local_targets.by_name or self.stopping or service is None:
                 return
-            found = await health_probe.ask(
+            found = await health_probe.check(
                 own.target, service.health_path, self._names
             )
             usable = found is not None and found.target and found.slots
-            if usable and found.well:
+            if usable and found.healthy:
                 self._add_discovered(found)
                 return
             await asyncio.sleep(DISCOVERY_RETRY_DELAY)
 
-    def _add_discovered(self, found: health_probe.Health) -> None:
+    def _add_discovered(self, found: health_probe.ProbeResult) -> None:
         own = self.settings
         now = self._clock.monotonic()
         if self.stopping or not self._incarnations.record_health_check(
@@ -236,10 +238,10 @@
             )
         )
 
-    def _add(self, said: heartbeats.Heartbeat) -> local_targets.Site:
+    def _add(self, said: heartbeats.Heartbeat) -> local_targets.LocalTarget:
         name = said.incarnation.name
-        for other, site in list(self._beside.site_by_target.items()):
-            if site.pool.address == said.address and other != name:
+        for other, local_target in list(self._local_targets.by_name.items()):
+            if local_target.pool.address == said.address and other != name:
                 # The address has another target now.
                 self._crashed(other)
                 self.record_remembered_leave(other)
@@ -247,12 +249,12 @@
             said.service
         )
         most = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
-        site = local_targets.Site(
+        local_target = local_targets.LocalTarget(
             said.incarnation.target,
             admission.Controller(name, said.service, said.slots),
             connection_pool.Pool(said.address, most, self._clock.monotonic),
         )
-        self._beside.add(name, site)
+        self._local_targets.add(name, local_target)
         _log.info(
             "target_joined",
             target=name,
@@ -260,4 +262,4 @@
             address=said.address,
         )
         self._on_change()
-        return site
+        return local_target
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -85,14 +85,14 @@
             "forklift.sends",
             "Attempts at targets",
             lambda: [
-                (proxy.forwarder.sends, {"kind": "all"}),
-                (proxy.forwarder.repeats, {"kind": "repeat"}),
+                (proxy.forwarder.attempts, {"kind": "all"}),
+                (proxy.forwarder.retries, {"kind": "repeat"}),
                 (proxy.forwarder.hedges, {"kind": "hedge"}),
             ],
         )
 
     def _add_targets(self, proxy) -> None:
-        sites = proxy.beside.site_by_target
+        local_targets = proxy.local_targets.by_name
         self.add_counter(
             "forklift.doubts",
             "Doubts raised about targets beside, by sign",
@@ -106,8 +106,8 @@
             "Requests that gates refused, by reason",
             lambda: [
                 (count, {"reason": str(reason)})
-                for site in sites.values()
-                for reason, count in site.controller.refusals_by_reason.items()
+                for local in local_targets.values()
+                for reason, count in local.controller.refusals_by_reason.items()
             ],
         )
         self.add_gauge(
@@ -115,10 +115,10 @@
             "Requests that targets beside run and wait for",
             lambda: [
                 (value, {"kind": kind})
-                for site in sites.values()
+                for local in local_targets.values()
                 for kind, value in (
-                    ("running", site.controller.running),
-                    ("waiting", site.controller.waiting),
+                    ("running", local.controller.running),
+                    ("waiting", local.controller.waiting),
                 )
             ],
         )
@@ -127,10 +127,10 @@
             "Connections to targets beside",
             lambda: [
                 (value, {"kind": kind})
-                for site in sites.values()
+                for local in local_targets.values()
                 for kind, value in (
-                    ("made", site.pool.made),
-                    ("reused", site.pool.reused),
+                    ("made", local.pool.created),
+                    ("reused", local.pool.reused),
                 )
             ],
         )
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -28,20 +28,20 @@
 
 # Seconds that a connection may have been idle to be used again where the
 # target names no time of its own.
-IDLE_FOR = 0.8
+DEFAULT_KEEP_ALIVE = 0.8
 # Share of the time that a target names: its clock started before ours.
-IDLE_SHARE = 0.7
+KEEP_ALIVE_FRACTION = 0.7
 # Answers up to this size are held until whole, bytes.
-HOLD_BYTES = 262_144
-MAX_HEAD = 65_536
+MAX_BUFFERED_BYTES = 262_144
+MAX_HEAD_BYTES = 65_536
 # Answers to other requests that are dropped before a connection is given up.
-MAX_STRAY = 3
+MAX_STRAY_RESPONSES = 3
 _BODILESS = (204, 304)
 # A number of more digits is no time that anybody means.
 _KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d{1,9})\b", re.IGNORECASE)
 
 
-class AnswerBroken(errors.ForkliftError):
+class IncompleteResponse(errors.ForkliftError):
     """A target's answer can't be passed on, or not to its end."""
 
     def __init__(self, reason: Reason, detail: str):
@@ -71,7 +71,7 @@
     idle: float
 
 
-class Run:
+class UpstreamRequest:
     """One request on one target."""
 
     def __init__(
@@ -103,7 +103,7 @@
         self._reusable = True
         self.head: Head | None = None
 
-    async def go(
+    async def execute(
         self,
         launch: Callable[[], Reason | None],
         load: Callable[[], messages.Load],
@@ -124,19 +124,19 @@
             AnswerBroken: It was sent, and there is no whole answer.
             tcp_stream.ConnectionLost: The sink is gone.
         """
-        connection = await self._pool.take(self._request.idempotent)
+        connection = await self._pool.acquire(self._request.idempotent)
         whole = False
         try:
             reason = launch()
             if reason is not None:
-                raise connection_pool.NotSent(
+                raise connection_pool.NotRun(
                     reason, "it may not start any more"
                 )
             await self._exchange(connection, load, sink)
             whole = True
         finally:
             if whole and self._reusable and not self.head.closes:
-                self._pool.give(connection, self.head.idle)
+                self._pool.release(connection, self.head.idle)
             else:
                 self._pool.discard(connection)
         return self.head.status
@@ -169,10 +169,12 @@
         try:
             connection.write(data)
         except tcp_stream.ConnectionLost as error:
-            raise AnswerBroken(Reason.TARGET_BROKE, str(error)) from error
+            raise IncompleteResponse(Reason.TARGET_BROKE, str(error)) from error
 
     def _new_protocol(self) -> h11.Connection:
-        return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        return h11.Connection(
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
+        )
 
     def _head_event(self) -> h11.Request:
         request = self._request
@@ -255,7 +257,9 @@
                 return event
             if isinstance(event, h11.InformationalResponse):
                 continue
-            raise AnswerBroken(Reason.TARGET_BROKE, "closed without an answer")
+            raise IncompleteResponse(
+                Reason.TARGET_BROKE, "closed without an answer"
+            )
 
     async def _skip(
         self, connection: tcp_stream.Connection, protocol: h11.Connection
@@ -263,16 +267,22 @@
         """Drops an answer to another request; ours is still to come."""
         self._stray += 1
         _log.info("stray_answer", request=self._request.id, target=self._target)
-        if self._stray > MAX_STRAY:
-            raise AnswerBroken(Reason.WRONG_ANSWER, "too many stray answers")
+        if self._stray > MAX_STRAY_RESPONSES:
+            raise IncompleteResponse(
+                Reason.WRONG_ANSWER, "too many stray answers"
+            )
         while True:
             event = await self._next_event(connection, protocol)
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
-                raise AnswerBroken(Reason.WRONG_ANSWER, "a stray one broke off")
+                raise IncompleteResponse(
+                    Reason.WRONG_ANSWER, "a stray one broke off"
+                )
         if protocol.their_state is not h11.DONE:
-            raise AnswerBroken(Reason.WRONG_ANSWER, "a stray answer closed")
+            raise IncompleteResponse(
+                Reason.WRONG_ANSWER, "a stray answer closed"
+            )
         # The library reads one answer for each request, so it is told of the
         # request once more; nothing of that is sent.
         again = self._new_protocol()
@@ -295,7 +305,9 @@
             elif isinstance(event, h11.EndOfMessage):
                 break
             else:
-                raise AnswerBroken(Reason.TARGET_BROKE, "the body broke off")
+                raise IncompleteResponse(
+                    Reason.TARGET_BROKE, "the body broke off"
+                )
         clean = protocol.their_state is h11.DONE
         self._reusable = clean and not protocol.trailing_data[0]
         await passing.end()
@@ -311,12 +323,12 @@
                 data = await connection.read()
                 if not data and connection.error is not None:
                     # A reset ends no answer, not even one without a length.
-                    raise AnswerBroken(
+                    raise IncompleteResponse(
                         Reason.TARGET_BROKE, str(connection.error)
                     )
                 protocol.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise AnswerBroken(Reason.TARGET_BROKE, str(error)) from error
+            raise IncompleteResponse(Reason.TARGET_BROKE, str(error)) from error
 
     def _own(self, response: h11.Response) -> bool:
         found = http.value(http.fields(response), self._header_names.request_id)
@@ -325,12 +337,12 @@
     def _raise_not_run(self, response: h11.Response) -> None:
         status = response.status_code
         if status == 421:
-            raise connection_pool.NotSent(
+            raise connection_pool.NotRun(
                 Reason.MISDIRECTED, "another target answers there"
             )
         headers = http.fields(response)
         if http.value(headers, self._header_names.not_run) is not None:
-            raise connection_pool.NotSent(
+            raise connection_pool.NotRun(
                 Reason.SHED, f"it refused with {status}"
             )
 
@@ -352,7 +364,7 @@
             for header in http.end_to_end(headers)
             if header[0] not in dropped
         )
-        return Head(status, kept, length, closes, _idle_time(headers))
+        return Head(status, kept, length, closes, _keep_alive_seconds(headers))
 
 
 class _Passing:
@@ -382,7 +394,7 @@
             await self._sink.data(piece)
             return
         self._held += piece
-        if len(self._held) > HOLD_BYTES:
+        if len(self._held) > MAX_BUFFERED_BYTES:
             await self._begin(self._head.length)
 
     async def end(self) -> None:
@@ -406,9 +418,9 @@
             self._held.clear()
 
 
-def _idle_time(headers: http.Headers) -> float:
+def _keep_alive_seconds(headers: http.Headers) -> float:
     """Seconds that the connection may be idle, by the target's word."""
     found = _KEEP_ALIVE.search(http.value(headers, b"keep-alive") or b"")
     if found is None:
-        return IDLE_FOR
-    return int(found[1]) * IDLE_SHARE
+        return DEFAULT_KEEP_ALIVE
+    return int(found[1]) * KEEP_ALIVE_FRACTION
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -56,7 +56,7 @@
                 policy.BUILT_IN.program,
                 load_balancer.RetryBudgetLimits(),
             ),
-            types.SimpleNamespace(site_by_target={}),
+            types.SimpleNamespace(by_name={}),
             self._send,
             self.take,
             lambda target: None,
--- a/test/test_control_protocols.py
+++ b/test/test_control_protocols.py
@@ -34,7 +34,7 @@
             load_balancer.LoadBalancer(
                 "own", "d", rng, policy.BUILT_IN.program, bounds
             ),
-            types.SimpleNamespace(site_by_target={}),
+            types.SimpleNamespace(by_name={}),
             lambda address, message, renew: self.sent.append(message),
             lambda record, source: None,
             lambda name: None,
--- a/test/test_log_trace.py
+++ b/test/test_log_trace.py
@@ -68,7 +68,7 @@
 def test_trace_explains_busy_targets():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
-            found = one.beside.site_by_target[f"t{number}"].controller
+            found = one.local_targets.by_name[f"t{number}"].controller
             found.slots = 1
             helper.train_latency(found.latencies.for_route("r", 1.0), 100.0)
         for target in fleet.targets:
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -156,13 +156,13 @@
     async def work(fleet):
         seen = []
         one = fleet.proxies[0]
-        run = one.beside.run
+        run = one.local_targets.run
 
         async def note(target, ticket, *rest):
             seen.append(ticket.priority)
             return await run(target, ticket, *rest)
 
-        one.beside.run = note
+        one.local_targets.run = note
         for key in (KEY, OTHER):
             await ask(fleet, (FIELD, key), path="/once/")
         assert seen == [0, 2]
@@ -329,7 +329,7 @@
         one = fleet.proxies[0]
         back = []
         one.rate_limiter.refund = back.append
-        one.beside.site_by_target["t0"].controller.drain()
+        one.local_targets.by_name["t0"].controller.drain()
         answer = await request_until_admitted(
             fleet, ("x-request-timeout-ms", "200")
         )
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -116,7 +116,7 @@
 def test_a_gate_is_told_by_when_a_request_must_have_started():
     async def work(fleet):
         seen = []
-        serving = fleet.proxies[1].beside
+        serving = fleet.proxies[1].local_targets
         run = serving.run
 
         async def note(target, ticket, *rest):
@@ -124,7 +124,7 @@
             return await run(target, ticket, *rest)
 
         serving.run = note
-        fleet.proxies[0].beside.site_by_target["t0"].controller.drain()
+        fleet.proxies[0].local_targets.by_name["t0"].controller.drain()
         assert (await fleet.ask(0)).status == 200
         assert seen[0].start_by < seen[0].deadline
 
@@ -134,7 +134,7 @@
 def test_an_idle_target_is_used_before_waiting_at_a_busy_one():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
-            one.beside.site_by_target[f"t{number}"].controller.slots = 1
+            one.local_targets.by_name[f"t{number}"].controller.slots = 1
         for target in fleet.targets:
             target.script.append("hold")
         asked = [asyncio.create_task(fleet.ask(0)) for _ in range(2)]
@@ -154,7 +154,7 @@
 def test_what_no_gate_takes_in_time_is_given_up_at_once():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
-            found = one.beside.site_by_target[f"t{number}"].controller
+            found = one.local_targets.by_name[f"t{number}"].controller
             found.slots = 1
             # One run takes longer than any request has.
             helper.train_latency(found.latencies.for_route("r", 1.0), 100.0)
@@ -164,10 +164,10 @@
         await helper.until(
             lambda: all(len(t.received) == 1 for t in fleet.targets)
         )
-        sends = fleet.proxies[0].forwarder.sends
+        sends = fleet.proxies[0].forwarder.attempts
         answer = await fleet.ask(0)
         assert answer.status == 503
-        assert fleet.proxies[0].forwarder.sends <= sends + 3 * len(held)
+        assert fleet.proxies[0].forwarder.attempts <= sends + 3 * len(held)
         for target in fleet.targets:
             target.release.set()
         assert [(await one).status for one in held] == [200] * 3
@@ -309,7 +309,7 @@
 
 def test_a_request_that_finds_no_target_ends_at_its_limit_as_not_run():
     async def work(fleet):
-        fleet.proxies[0].beside.drain("t0")
+        fleet.proxies[0].local_targets.drain("t0")
         answer = await fleet.ask()
         assert answer.status == 503
         assert fleet.runs() == 0
@@ -325,7 +325,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         one.forwarder.rng = random.Random(1)
-        one.beside.drain("t0")
+        one.local_targets.drain("t0")
         answers = await asyncio.gather(*(fleet.ask() for _ in range(5)))
         assert [answer.status for answer in answers] == [503] * 5
         told = {come_back(answer) for answer in answers}
@@ -405,7 +405,7 @@
     """Looks for a second target, by whether one was found."""
     looks = []
 
-    class Race(hedging.Race):
+    class HedgedRequest(hedging.HedgedRequest):
         def __init__(self, turn, begin, second, note):
             def look(*arguments):
                 found = second(*arguments)
@@ -414,8 +414,8 @@
 
             super().__init__(turn, begin, look, note)
 
-    monkeypatch.setattr(hedging, "PAUSE", 0.001)
-    monkeypatch.setattr(hedging, "Race", Race)
+    monkeypatch.setattr(hedging, "HEDGE_RETRY_DELAY", 0.001)
+    monkeypatch.setattr(hedging, "HedgedRequest", HedgedRequest)
     return looks
 
 
@@ -525,7 +525,7 @@
 
 def test_a_hang_up_reaches_the_target_through_another_process():
     async def work(fleet):
-        fleet.proxies[0].beside.drain("t0")
+        fleet.proxies[0].local_targets.drain("t0")
         fleet.targets[1].script.append("hang")
         asked = asyncio.create_task(fleet.ask(0))
         await helper.until(lambda: len(fleet.targets[1].received) == 1)
@@ -537,18 +537,18 @@
 
 def test_what_must_not_repeat_runs_to_its_end_though_its_caller_is_gone():
     async def work(fleet):
-        fleet.proxies[0].beside.drain("t0")
+        fleet.proxies[0].local_targets.drain("t0")
         target = fleet.targets[1]
         target.script.append("hold")
         asked = asyncio.create_task(fleet.ask(0))
         await helper.until(lambda: len(target.received) == 1)
         asked.cancel()
-        other = fleet.proxies[1].beside
+        other = fleet.proxies[1].local_targets
         await helper.until(lambda: other._detached)
         target.release.set()
         await helper.until(lambda: not other._detached)
         # The connection was returned whole: nothing was broken off.
-        assert other.site_by_target["t1"].pool.open == 1
+        assert other.by_name["t1"].pool.open_count == 1
 
     first = processes.record(1, r=processes.route("non_idempotent"))
     processes.play(work, [[], []], first=first)
@@ -557,12 +557,12 @@
 def test_what_must_not_repeat_is_fenced_around_a_silent_path():
     async def work(fleet):
         entry = fleet.proxies[0]
-        entry.beside.drain("t0")
+        entry.local_targets.drain("t0")
         link = await entry.peer_connections.get("p1")
         await entry.peer_connections.get("p2")
         # One way is cut: what is sent to p1 is lost, and nothing says so.
         link._frames.send = lambda frame: None
-        fleet.proxies[2].beside.drain("t2")
+        fleet.proxies[2].local_targets.drain("t2")
         await helper.until(
             lambda: (
                 sum(
@@ -576,7 +576,7 @@
         await helper.until(
             lambda: not entry.balancer.reachability.is_reachable("p1")
         )
-        fences = fleet.proxies[1].beside.fences
+        fences = fleet.proxies[1].local_targets.fences
         await helper.until(lambda: len(fences) == 1)
         # Proven not to run there, it goes to another one in time.
         fleet.announce(
@@ -596,21 +596,21 @@
 
 def test_a_guard_that_was_paused_refuses_what_is_older():
     async def work(fleet):
-        fleet.proxies[0].beside.drain("t0")
+        fleet.proxies[0].local_targets.drain("t0")
         await fleet.proxies[0].peer_connections.get("p1")
         fleet.proxies[1].incarnation += 1
         seen = []
-        served = fleet.proxies[1].beside.run
+        served = fleet.proxies[1].local_targets.run
 
         async def run(*arguments):
             seen.append(arguments)
             return await served(*arguments)
 
-        fleet.proxies[1].beside.run = run
+        fleet.proxies[1].local_targets.run = run
         assert (await fleet.ask(0)).status == 200
         # The first send was refused as stale before it came to the gate.
         assert len(seen) == 1
-        assert fleet.proxies[0].forwarder.sends >= 2
+        assert fleet.proxies[0].forwarder.attempts >= 2
 
     processes.play(work, [[], []])
 
@@ -620,9 +620,9 @@
         one = fleet.proxies[0]
         now = one.clock.monotonic()
         one.target_registry.expire(now + 1.0)
-        assert "t0" in one.beside.site_by_target
+        assert "t0" in one.local_targets.by_name
         one.target_registry.expire(now + 1000.0)
-        assert one.beside.site_by_target == {}
+        assert one.local_targets.by_name == {}
 
     processes.play(work, [[]])
 
@@ -709,7 +709,7 @@
         )
         # A heartbeat that was late comes to the new run.
         fleet.announce(new, 0)
-        assert "t0" not in new.beside.site_by_target
+        assert "t0" not in new.local_targets.by_name
 
     processes.play(work, [[], []])
 
@@ -758,8 +758,8 @@
             1,
         )
         one.target_registry.record_heartbeat(said)
-        site = one.beside.site_by_target["t0"]
-        assert site.controller.state is State.LEFT
+        local_target = one.local_targets.by_name["t0"]
+        assert local_target.controller.state is State.LEFT
         assert (await fleet.ask()).status == 200
         received = fleet.targets[0].received[0]
         assert received.field(header_fields.DEFAULT.expected) == b"t9"
@@ -770,7 +770,7 @@
 def test_a_process_that_is_not_known_is_avoided_not_asked_for_ever():
     async def work(fleet):
         one = fleet.proxies[0]
-        one.beside.drain("t0")
+        one.local_targets.drain("t0")
         any_ = processes.ANY
         info = messages.ProcessInfo(
             "ghost", 1, 1, "d", any_, any_, any_, 1, 0.0,
@@ -782,10 +782,10 @@
         await helper.until(
             lambda: not one.balancer.reachability.is_reachable("ghost")
         )
-        sends = one.forwarder.sends
+        sends = one.forwarder.attempts
         for _ in range(200):
             await asyncio.sleep(0)
-        assert one.forwarder.sends <= sends + 1
+        assert one.forwarder.attempts <= sends + 1
         fleet.announce(
             one, 0, incarnation=heartbeats.TargetIncarnation("t7"), sequence=1
         )
@@ -828,7 +828,7 @@
         one._ask_for_work(one.clock.monotonic())
         assert [name for name, _ in asked] == ["t0"]
         asked.clear()
-        one.beside.drain("t0")
+        one.local_targets.drain("t0")
         one._ask_for_work(one.clock.monotonic())
         assert asked == []
 
@@ -867,8 +867,8 @@
                 header_fields.DEFAULT,
             )
             await one.start()
-            await helper.until(lambda: one.beside.site_by_target)
-            assert one.beside.site_by_target["t0"].controller.slots == 3
+            await helper.until(lambda: one.local_targets.by_name)
+            assert one.local_targets.by_name["t0"].controller.slots == 3
             assert target.received == []
             await one.close()
         listening.abort()
@@ -880,10 +880,10 @@
     async def work():
         async with scripted.ScriptedTarget(name="t0") as target:
             target.leaving = True
-            found = await health_probe.ask(
+            found = await health_probe.check(
                 target.address, "/health", header_fields.DEFAULT
             )
-            assert found == health_probe.Health(False, "t0", 4)
+            assert found == health_probe.ProbeResult(False, "t0", 4)
 
     helper.run(work())
 
@@ -899,7 +899,7 @@
 
     async def work(fleet):
         entry = fleet.proxies[0]
-        entry.beside.drain("t0")
+        entry.local_targets.drain("t0")
         get = entry.peer_connections.get
         lost = []
 
@@ -918,7 +918,7 @@
         assert lost
         assert answer.status == 200
         assert fleet.runs() == 1
-        assert entry.forwarder.repeats == 0
+        assert entry.forwarder.retries == 0
 
     processes.play(
         work, [[], [], []], first=processes.record(1, r=processes.route(kind))
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -126,7 +126,7 @@
     async def work(fleet):
         seen = []
         for one in fleet.proxies:
-            note(one.beside, seen)
+            note(one.local_targets, seen)
         fleet.targets[0].crashes_on = b"/a/ "
         assert (await fleet.ask(0)).status == 200
         assert [ticket.exclusive for ticket in seen] == [False, True]
@@ -299,7 +299,7 @@
         answer = await fleet.ask(0, "/a/deadly")
         assert answer.status == 503
         assert float(http.value(answer.headers, b"retry-after")) > 60
-        assert one.forwarder.sends == 0
+        assert one.forwarder.attempts == 0
         # The path with another query has another fingerprint.
         assert (await fleet.ask(0, "/a/deadly?x")).status == 200
 
@@ -315,7 +315,7 @@
         quarantine_locally(other)
         answer = await fleet.ask(0, "/a/deadly")
         assert answer.status == 503
-        assert ingress.forwarder.sends == 1
+        assert ingress.forwarder.attempts == 1
         assert fleet.runs() == 0
 
     processes.play(work, [[], []])
@@ -324,13 +324,13 @@
 def test_waiting_request_is_rejected_once_it_is_quarantined():
     async def work(fleet):
         one = fleet.proxies[0]
-        site = one.beside.site_by_target["t0"]
-        site.controller.slots = 1
+        local_target = one.local_targets.by_name["t0"]
+        local_target.controller.slots = 1
         fleet.targets[0].script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
         waits = asyncio.create_task(fleet.ask(0, "/a/deadly"))
-        await helper.until(lambda: site.controller.waiting == 1)
+        await helper.until(lambda: local_target.controller.waiting == 1)
         quarantine_locally(one)
         fleet.targets[0].release.set()
         assert (await runs).status == 200
@@ -350,7 +350,7 @@
         caller = asyncio.create_task(fleet.ask(0, "/a/deadly"))
         await helper.until(lambda: fleet.runs() == 1)
         caller.cancel()
-        await helper.until(lambda: one.beside.running == 0)
+        await helper.until(lambda: one.local_targets.running == 0)
         target.crash()
         await fleet.ask()
         found = one.quarantine.all_evidence(one.clock.monotonic())
@@ -395,7 +395,7 @@
     async def work(fleet):
         ingress, other = fleet.proxies
         ingress.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
-        other.beside.site_by_target["t1"].controller.slots = 1
+        other.local_targets.by_name["t1"].controller.slots = 1
         fleet.targets[1].script.append("hold")
         runs = asyncio.create_task(fleet.ask(1))
         await helper.until(lambda: fleet.runs() == 1)
@@ -418,7 +418,7 @@
         ingress, other = fleet.proxies
         ingress.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
         suspect_locally(other)
-        gate_of = other.beside.site_by_target["t1"].controller
+        gate_of = other.local_targets.by_name["t1"].controller
         arrive, seen = gate_of.admit, []
 
         def noted(ticket, now):
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -64,7 +64,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         announce(fleet, OLD)
-        before = one.beside.site_by_target[OLD.name]
+        before = one.local_targets.by_name[OLD.name]
         now = one.clock.monotonic()
         for number in range(4):
             before.controller.health.begin(
@@ -75,11 +75,11 @@
             )
         assert before.controller.health.ejected
         announce(fleet, NEW, cold=30.0)
-        after = one.beside.site_by_target[NEW.name].controller
+        after = one.local_targets.by_name[NEW.name].controller
         assert not after.health.ejected
         assert (after.running, after.waiting) == (0, 0)
         assert after.cold_until > one.clock.monotonic()
-        assert OLD.name not in one.beside.site_by_target
+        assert OLD.name not in one.local_targets.by_name
 
     processes.play(work, [[]])
 
@@ -111,12 +111,12 @@
         one = fleet.proxies[0]
         announce(fleet, OLD)
         await wait_for_targets(fleet, OLD.name)
-        one.beside.site_by_target[OLD.name].controller.slots = 1
+        one.local_targets.by_name[OLD.name].controller.slots = 1
         fleet.targets[0].script.append("hold")
         held = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
         waits = asyncio.create_task(fleet.ask())
-        controller = one.beside.site_by_target[OLD.name].controller
+        controller = one.local_targets.by_name[OLD.name].controller
         await helper.until(lambda: controller.waiting == 1)
         announce(fleet, NEW)
         assert (await held).status == 502
@@ -131,12 +131,12 @@
         one = fleet.proxies[0]
         announce(fleet, OLD)
         announce(fleet, NEW)
-        site = one.beside.site_by_target[NEW.name]
+        local_target = one.local_targets.by_name[NEW.name]
         announce(fleet, OLD, sequence=99, leaving=True)
         one.target_registry.record_leave(OLD)
         one.target_registry.record_remembered_leave(OLD.name)
-        assert one.beside.site_by_target == {NEW.name: site}
-        assert site.controller.state is State.IN_SERVICE
+        assert one.local_targets.by_name == {NEW.name: local_target}
+        assert local_target.controller.state is State.IN_SERVICE
         assert (await fleet.ask()).status == 200
 
     processes.play(work, [[]])
@@ -155,20 +155,20 @@
         one.target_registry.settings = dataclasses.replace(
             one.settings, platform=own
         )
-        one.beside.site_by_target.clear()
+        one.local_targets.by_name.clear()
         one.target_registry._incarnations = heartbeats.IncarnationTracker(5.0)
         one.target_registry._add_discovered(
-            target_registry.health_probe.Health(True, "t0", slots=3)
+            target_registry.health_probe.ProbeResult(True, "t0", slots=3)
         )
-        site = one.beside.site_by_target["t0"]
-        site.pool.address = fleet.targets[0].address
+        local_target = one.local_targets.by_name["t0"]
+        local_target.pool.address = fleet.targets[0].address
         fleet.targets[0].script.append("hold")
         asked = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
         announce(fleet, NEW, sequence=40)
-        assert one.beside.site_by_target == {NEW.name: site}
+        assert one.local_targets.by_name == {NEW.name: local_target}
         # The running request continues in the same incarnation.
-        assert site.controller.running == 1
+        assert local_target.controller.running == 1
         fleet.targets[0].release.set()
         assert (await asked).status == 200
         # A request from a process that does not know the full name yet.
@@ -198,14 +198,14 @@
         # Without a configuration the service cannot be checked.
         assert not one.active_catalog.loaded
         announce(fleet, OLD, service="unheard-of", sequence=7)
-        assert OLD.name in one.beside.site_by_target
+        assert OLD.name in one.local_targets.by_name
         fleet.store.configure(processes.record(1))
         await helper.until(lambda: one.active_catalog.loaded)
-        assert OLD.name not in one.beside.site_by_target
+        assert OLD.name not in one.local_targets.by_name
         announce(fleet, NEW, service="unheard-of", sequence=2**50)
-        assert NEW.name not in one.beside.site_by_target
+        assert NEW.name not in one.local_targets.by_name
         announce(fleet, NEW, sequence=1)
-        assert NEW.name in one.beside.site_by_target
+        assert NEW.name in one.local_targets.by_name
 
     processes.play(work, [[]], first={})
 
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -52,11 +52,11 @@
 
     async def work(fleet):
         one = fleet.proxies[0]
-        one.beside.site_by_target["t0"].controller.slots = 1
+        one.local_targets.by_name["t0"].controller.slots = 1
         fleet.targets[0].script.append("hold")
         held = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
-        one.forwarder.end(ends_in(one, 0.3))
+        one.forwarder.set_stop_deadlines(ends_in(one, 0.3))
         late = asyncio.create_task(fleet.ask())
         answers = [await held, await late]
         # The first may have run; that the second has not is told, and true.
@@ -77,7 +77,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         give_grace(one, 5.0)
-        one.beside.site_by_target["t0"].controller.slots = 1
+        one.local_targets.by_name["t0"].controller.slots = 1
         fleet.targets[0].script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
@@ -120,7 +120,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         give_grace(one, 5.0)
-        one.beside.site_by_target["t0"].controller.slots = 1
+        one.local_targets.by_name["t0"].controller.slots = 1
         fleet.targets[0].script.append("hold")
         runs = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
@@ -410,7 +410,7 @@
         link._frames.transport.pause_reading()
         (served,) = one.served
         news = messages.LoadUpdate(
-            "t" * 10_000, one.beside.site_by_target["t1"].controller.load(0.0)
+            "t" * 10_000, one.local_targets.by_name["t1"].controller.load(0.0)
         )
         told = 0
         while not unsent.fget(served):
@@ -440,11 +440,11 @@
             await helper.until(
                 lambda: any(
                     passage._claim.owner is not None
-                    for passage in one.forwarder._passages
+                    for passage in one.forwarder._in_flight
                 )
             )
             one.ingress.stopping = True
-            one.forwarder.end(ends_in(one, 0.0))
+            one.forwarder.set_stop_deadlines(ends_in(one, 0.0))
             answer = await caller.answer()
         first, second = answer.split(b"HTTP/1.1 ")[1:]
         assert first.startswith(b"502")
@@ -460,9 +460,9 @@
 def test_a_request_read_after_the_end_is_refused_and_sent_nowhere():
     async def work(fleet):
         one = fleet.proxies[0]
-        one.forwarder.end(ends_in(one, 0.0))
+        one.forwarder.set_stop_deadlines(ends_in(one, 0.0))
         assert (await fleet.ask()).status == 503
-        assert one.forwarder.sends == 0
+        assert one.forwarder.attempts == 0
 
     processes.play(work, [[]])
 
@@ -480,7 +480,7 @@
         link.on_load_update = taken.append
         (served,) = one.served
         news = messages.LoadUpdate(
-            "t" * 10_000, one.beside.site_by_target["t1"].controller.load(0.0)
+            "t" * 10_000, one.local_targets.by_name["t1"].controller.load(0.0)
         )
         # The peer is slow to take; the system has room for all of it.
         transport = link._frames.transport
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -64,8 +64,10 @@
 async def go(
     pool: connection_pool.Pool, sent: exchange.Request, sink: Sink
 ) -> int:
-    run = upstream.Run(pool, sent, "t-1", "t-1", header_fields.DEFAULT, NOW)
-    return await run.go(lambda: None, lambda: None, sink)
+    run = upstream.UpstreamRequest(
+        pool, sent, "t-1", "t-1", header_fields.DEFAULT, NOW
+    )
+    return await run.execute(lambda: None, lambda: None, sink)
 
 
 def pool_of(target: scripted.ScriptedTarget) -> connection_pool.Pool:
@@ -86,11 +88,11 @@
                     sent = request(number, **changes)
                     outcomes.append(await go(pool, sent, sink))
                 except (
-                    connection_pool.NotSent,
-                    upstream.AnswerBroken,
+                    connection_pool.NotRun,
+                    upstream.IncompleteResponse,
                 ) as error:
                     outcomes.append((type(error), error.reason))
-            pool.close()
+            pool.close_idle()
             return target, pool, sinks, outcomes
 
     return helper.run(work())
@@ -116,9 +118,9 @@
 )
 def test_a_broken_answer_never_begins(fault):
     _, pool, sinks, outcomes = play(fault)
-    assert outcomes == [(upstream.AnswerBroken, Reason.TARGET_BROKE)]
+    assert outcomes == [(upstream.IncompleteResponse, Reason.TARGET_BROKE)]
     assert not sinks[0].has_started
-    assert pool.open == 0
+    assert pool.open_count == 0
 
 
 def test_an_answer_that_ends_with_its_connection_is_whole():
@@ -126,7 +128,7 @@
     assert outcomes == [200]
     assert sinks[0].body == scripted.BODY
     assert sinks[0].head.length == len(scripted.BODY)
-    assert pool.open == 0
+    assert pool.open_count == 0
 
 
 def test_a_stray_answer_is_dropped_and_ours_awaited():
@@ -148,7 +150,7 @@
 )
 def test_a_refusal_is_not_run(fault, reason):
     _, _, sinks, outcomes = play(fault)
-    assert outcomes == [(connection_pool.NotSent, reason)]
+    assert outcomes == [(connection_pool.NotRun, reason)]
     assert not sinks[0].has_started
 
 
@@ -177,10 +179,10 @@
     async def work():
         async with scripted.ScriptedTarget() as target:
             pool = pool_of(target)
-        with pytest.raises(connection_pool.NotSent) as caught:
+        with pytest.raises(connection_pool.NotRun) as caught:
             await go(pool, request(), Sink())
         assert caught.value.reason is Reason.CONNECT_FAILED
-        assert pool.open == 0
+        assert pool.open_count == 0
 
     helper.run(work())
 
@@ -188,7 +190,7 @@
 def test_a_launch_that_is_forbidden_sends_nothing():
     async def work():
         async with scripted.ScriptedTarget() as target:
-            run = upstream.Run(
+            run = upstream.UpstreamRequest(
                 pool_of(target),
                 request(),
                 "t-1",
@@ -196,8 +198,8 @@
                 header_fields.DEFAULT,
                 NOW,
             )
-            with pytest.raises(connection_pool.NotSent) as caught:
-                await run.go(lambda: Reason.FENCED, lambda: None, Sink())
+            with pytest.raises(connection_pool.NotRun) as caught:
+                await run.execute(lambda: Reason.FENCED, lambda: None, Sink())
             assert caught.value.reason is Reason.FENCED
             assert target.received == []
 
@@ -222,10 +224,10 @@
             sent = request(1, length=-1, body=long)
             assert await go(pool, sent, sink) == 200
             assert sink.body == scripted.BODY
-            assert pool.open == 0
+            assert pool.open_count == 0
             assert await go(pool, request(2), Sink()) == 200
             assert target.connections == 2
-            pool.close()
+            pool.close_idle()
 
     helper.run(work())
 
@@ -238,7 +240,7 @@
             await helper.until(lambda: target.received)
             task.cancel()
             await helper.until(lambda: target.hung_up == 1)
-            assert pool.open == 0
+            assert pool.open_count == 0
 
     helper.run(work())
 
@@ -246,11 +248,14 @@
 @pytest.mark.parametrize(
     ("fields", "seconds"),
     [
-        ((), upstream.IDLE_FOR),
-        (((b"keep-alive", b"timeout=10"),), 10 * upstream.IDLE_SHARE),
-        (((b"keep-alive", b"max=5, timeout=2"),), 2 * upstream.IDLE_SHARE),
-        (((b"keep-alive", b"nonsense"),), upstream.IDLE_FOR),
+        ((), upstream.DEFAULT_KEEP_ALIVE),
+        (((b"keep-alive", b"timeout=10"),), 10 * upstream.KEEP_ALIVE_FRACTION),
+        (
+            ((b"keep-alive", b"max=5, timeout=2"),),
+            2 * upstream.KEEP_ALIVE_FRACTION,
+        ),
+        (((b"keep-alive", b"nonsense"),), upstream.DEFAULT_KEEP_ALIVE),
     ],
 )
 def test_heeds_the_idle_time_of_targets(fields, seconds):
-    assert upstream._idle_time(fields) == seconds
+    assert upstream._keep_alive_seconds(fields) == seconds
