--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -1,4 +1,4 @@
-"""Runs one process until it is told to stop."""
+"""Runs one process until its shutdown is requested."""
 
 import asyncio
 import gc
@@ -17,78 +17,79 @@
 from forklift.shell import server
 
 _log = structlog.get_logger(__name__)
+# Allocations between two collections of the youngest generation.
 GC_THRESHOLD = 20_000
 
 
-async def serve(read: settings.Settings, path: str) -> None:
-    """Runs a process until SIGTERM, SIGINT or a drain of it all.
+async def serve(initial: settings.Settings, path: str) -> None:
+    """Runs a process until SIGTERM, SIGINT or an operator's request to stop.
 
     Args:
-        read: Its settings.
-        path: File that they were read from.
+        initial: Settings to start with.
+        path: File from which the settings are reloaded.
 
     Raises:
-        errors.UserError: It can't start.
+        errors.UserError: The process can't start.
     """
     proxy = proxies.Proxy(
-        read,
-        store.Store(read.platform.store),
+        initial,
+        store.Store(initial.platform.store),
         store.decode,
         platform_headers.PLATFORM,
     )
-    front = admin.AdminServer(proxy)
-    calls = endpoints.Endpoints(
+    admin_server = admin.AdminServer(proxy)
+    platform_endpoints = endpoints.Endpoints(
         proxy.target_registry.record_heartbeat,
         proxy.target_registry.record_leave,
         proxy.ready,
     )
-    heartbeats = server.Server(calls.heartbeat)
-    readiness = server.Server(calls.readiness)
-    stop = asyncio.Event()
+    heartbeats = server.Server(platform_endpoints.heartbeat)
+    readiness = server.Server(platform_endpoints.readiness)
+    stop_requested = asyncio.Event()
 
-    def ask_to_stop() -> None:
+    def request_stop() -> None:
         proxy.request_stop()
-        stop.set()
+        stop_requested.set()
 
-    front.on_stop_requested = ask_to_stop
-    watcher = reload.Watcher(path, read, proxy.reload)
+    admin_server.on_stop_requested = request_stop
+    watcher = reload.Watcher(path, initial, proxy.reload)
     loop = asyncio.get_running_loop()
-    # Before callers are listened for: by its default the signal would end the
-    # process with their requests.
+    # Installs the handlers before the process accepts callers: a signal's
+    # default action would end it together with their requests.
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ask_to_stop)
+        loop.add_signal_handler(number, request_stop)
     loop.add_signal_handler(signal.SIGHUP, watcher.check)
     await proxy.start()
-    await _open_front(front)
-    await _open(heartbeats, read.platform.heartbeats, "heartbeats")
-    await _open(readiness, read.platform.ready, "ready")
+    await _open_admin_server(admin_server)
+    await _open(heartbeats, initial.platform.heartbeats, "heartbeats")
+    await _open(readiness, initial.platform.ready, "ready")
     _log.info(
         "listening",
         caller=proxy.caller_address,
         heartbeats=heartbeats.address,
         ready=readiness.address,
-        admin=front.address,
+        admin=admin_server.address,
     )
     _freeze_startup_objects()
     proxy.spawn(watcher.run())
-    await stop.wait()
+    await stop_requested.wait()
     await proxy.stop()
     heartbeats.close()
     readiness.close()
-    front.close()
+    admin_server.close()
 
 
-async def _open_front(front: admin.AdminServer) -> None:
-    """Callers are served even where operators can't ask."""
+async def _open_admin_server(admin_server: admin.AdminServer) -> None:
+    """Opens the admin interface; the process also serves without it."""
     try:
-        await front.open()
+        await admin_server.open()
     except errors.UserError as error:
         _log.error("admin_unavailable", detail=str(error))
 
 
-async def _open(opened: server.Server, address: str, key: str) -> None:
+async def _open(listener: server.Server, address: str, key: str) -> None:
     try:
-        await opened.open(address)
+        await listener.open(address)
     except OSError as error:
         raise errors.UserError(
             f"can't listen on {address} ({error}); check [platform] {key}"
@@ -96,9 +97,10 @@
 
 
 def _freeze_startup_objects() -> None:
-    """What is loaded by now lives for ever.
+    """Excludes the objects that exist by now from garbage collection.
 
-    Full collections of it would show in the slowest requests.
+    They live as long as the process, and full collections of them would delay
+    requests.
     """
     gc.collect()
     gc.freeze()
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned stop of a process: whoever is owed an answer gets it first."""
+"""Graceful shutdown of a process: every caller gets its response first."""
 
 import asyncio
 import dataclasses
@@ -9,27 +9,30 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds after SIGTERM during which callers still come, as the platform has
-# to ask twice, a second apart, before it sends them elsewhere.
+# Seconds after SIGTERM during which new connections are still accepted. The
+# platform stops sending callers after two failed readiness checks, which are a
+# second apart.
 LAME_DUCK_TIME = 2.6
-# Part of the grace after which what is still running is left to its fate.
+# Fraction of the grace period after which the process exits, even if requests
+# are still in flight.
 USABLE_GRACE = 0.9
 POLL_INTERVAL = 0.05
-# Seconds before the end in which the last answers reach their callers.
+# Seconds before the exit that are reserved for sending the last responses.
 FINAL_RESPONSE_TIME = 0.2
-# Seconds in which peers take what the system holds for them; one that is silent
-# holds the end up for no longer.
+# Maximum seconds to wait until the peers have received what is still in the
+# socket buffers and have closed their connections.
 PEER_CLOSE_TIMEOUT = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Deadlines:
-    """Until when a stop lasts, monotonic seconds.
+    """Deadlines of a shutdown, in monotonic seconds.
 
     Attributes:
-        reject_at: From then on what no target has is refused.
-        resolve_at: By then what a target has is answered as unknown.
-        exit_at: The process ends, whoever is owed an answer.
+        reject_at: Requests that no target has are rejected from then on.
+        resolve_at: Requests that a target still has end then, with an unknown
+            outcome.
+        exit_at: The process exits, even if responses are pending.
     """
 
     reject_at: float
@@ -38,64 +41,74 @@
 
 
 def initial_deadlines(now: float, grace: float) -> Deadlines:
-    """The bounds of a stop that was asked for now.
+    """Returns the deadlines of a shutdown that was requested now.
 
     Args:
         now: Monotonic seconds.
-        grace: Seconds after which the process may be killed.
+        grace: Seconds after which the platform may kill the process.
     """
-    until = now + USABLE_GRACE * grace
+    exit_at = now + USABLE_GRACE * grace
     return Deadlines(
-        until - FINAL_RESPONSE_TIME, until - FINAL_RESPONSE_TIME, until
+        exit_at - FINAL_RESPONSE_TIME, exit_at - FINAL_RESPONSE_TIME, exit_at
     )
 
 
 def extended_deadlines(
-    before: Deadlines, now: float, grace: float
+    current: Deadlines, now: float, grace: float
 ) -> Deadlines:
-    """The bounds of a stop that is asked for once more.
+    """Returns the deadlines after a shutdown was requested again.
 
-    Each signal may begin a grace of its own, or only the first: so what runs
-    has the time of the last one, and what does not is refused, as it would be
-    lost if the process was killed after the first.
+    The platform may count the grace period from the first or from the last
+    signal. Running requests get the time of the last one. Requests that no
+    target has are still rejected at the first deadline, as they would be lost
+    if the process was killed then.
+
+    Args:
+        current: Deadlines before this request.
+        now: Monotonic seconds.
+        grace: Seconds after which the platform may kill the process.
     """
-    last = initial_deadlines(now, grace)
-    return dataclasses.replace(last, reject_at=before.reject_at)
+    extended = initial_deadlines(now, grace)
+    return dataclasses.replace(extended, reject_at=current.reject_at)
 
 
 async def stop(proxy) -> None:
-    """Serves callers on for a while, then waits until none is owed anything.
+    """Shuts a process down gracefully.
+
+    Goes on accepting connections during the lame-duck time, as callers still
+    arrive, then waits until no response is pending or the deadline passes.
 
     Args:
-        proxy: The process, which is told as stopping already.
+        proxy: The process, whose shutdown was requested.
     """
     now = proxy.clock.monotonic()
-    lame_until = now + min(LAME_DUCK_TIME, proxy.settings.platform.grace / 2)
+    lame_duck_end = now + min(LAME_DUCK_TIME, proxy.settings.platform.grace / 2)
     proxy.ingress.stopping = True
     _log.info("stopping", running=proxy.running())
     proxy.target_registry.pause_targets()
     proxy.forwarder.set_stop_deadlines(proxy.stop_deadlines)
-    while proxy.clock.monotonic() < lame_until:
+    while proxy.clock.monotonic() < lame_duck_end:
         await asyncio.sleep(POLL_INTERVAL)
     proxy.stop_accepting()
-    await _settle(proxy)
+    await _drain(proxy)
     proxy.control_protocols.leave()
     await asyncio.sleep(POLL_INTERVAL)
     await _flush(proxy)
-    # Peers may have asked since.
-    await _settle(proxy)
-    await _part(proxy)
-    owing = proxy.pending_responses()
-    late = proxy.clock.monotonic() >= proxy.stop_deadlines.exit_at
-    invariants.nothing_cut_off(owing, late)
-    _log.info("stopped", cut_off=owing)
+    # Peers may have sent requests in the meantime.
+    await _drain(proxy)
+    await _close_peer_connections(proxy)
+    pending = proxy.pending_responses()
+    deadline_passed = proxy.clock.monotonic() >= proxy.stop_deadlines.exit_at
+    invariants.nothing_cut_off(pending, deadline_passed)
+    _log.info("stopped", cut_off=pending)
 
 
-async def _settle(proxy) -> None:
-    """Waits until nobody is owed an answer.
+async def _drain(proxy) -> None:
+    """Waits until no response is pending, or until the process must exit.
 
-    Between a look that finds nothing owed and the close of what is idle no
-    byte may be read: its request would be sent on and not answered.
+    Must not await between closing the idle connections and checking for
+    pending responses: a request that arrives in between would be forwarded
+    but never answered.
     """
     while True:
         now = proxy.clock.monotonic()
@@ -107,25 +120,29 @@
         await asyncio.sleep(POLL_INTERVAL)
 
 
-async def _part(proxy) -> None:
-    """Has peers take what the system holds for them, and close."""
+async def _close_peer_connections(proxy) -> None:
+    """Half-closes the peers' connections and waits until the peers close.
+
+    Closing a connection with unread input would reset it and discard what is
+    in the socket buffer.
+    """
     for served in list(proxy.served):
         served.half_close()
-    until = min(
+    deadline = min(
         proxy.stop_deadlines.exit_at,
         proxy.clock.monotonic() + PEER_CLOSE_TIMEOUT,
     )
-    while proxy.served and proxy.clock.monotonic() < until:
+    while proxy.served and proxy.clock.monotonic() < deadline:
         await asyncio.sleep(POLL_INTERVAL)
 
 
 async def _flush(proxy) -> None:
-    """Lets peers take what was written; a silent one holds up nothing."""
-    until = min(
+    """Waits for a short time until the writes to peers have been sent."""
+    deadline = min(
         proxy.stop_deadlines.exit_at,
         proxy.clock.monotonic() + FINAL_RESPONSE_TIME,
     )
     while any(served.unsent for served in proxy.served):
-        if proxy.clock.monotonic() >= until:
+        if proxy.clock.monotonic() >= deadline:
             return
         await asyncio.sleep(POLL_INTERVAL)
--- a/test/test_serve.py
+++ b/test/test_serve.py
@@ -1,4 +1,4 @@
-"""The life of one process."""
+"""Signals during the start and the shutdown of a process."""
 
 import asyncio
 import os
@@ -13,17 +13,17 @@
 ANY = "127.0.0.1:0"
 
 
-def test_a_signal_that_comes_as_callers_are_first_listened_for(monkeypatch):
-    """By its default it would end the process with their requests."""
-    started = proxy.Proxy.start
-    missed = []
+def test_signal_right_after_the_start_is_handled(monkeypatch):
+    """Its default action would end the process together with its requests."""
+    original_start = proxy.Proxy.start
+    unhandled = []
 
     async def start(one: proxy.Proxy) -> None:
-        await started(one)
+        await original_start(one)
         os.kill(os.getpid(), signal.SIGTERM)
 
     async def work():
-        # A store that is away.
+        # No store listens at this address.
         platform = settings.Platform("127.0.0.1:9", ANY, ANY)
         process = settings.Process("p", "d", ANY, ANY, ANY, ANY)
         async with asyncio.timeout(helper.DEFAULT_TIMEOUT):
@@ -32,22 +32,22 @@
     monkeypatch.setattr(proxy.Proxy, "start", start)
     monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
     monkeypatch.setattr(serve, "_freeze_startup_objects", lambda: None)
-    before = signal.signal(signal.SIGTERM, lambda *_: missed.append(True))
+    before = signal.signal(signal.SIGTERM, lambda *_: unhandled.append(True))
     try:
         helper.run(work())
     finally:
         signal.signal(signal.SIGTERM, before)
-    assert missed == []
+    assert unhandled == []
 
 
-def test_each_further_signal_reaches_the_stop_that_it_finds(monkeypatch):
-    """One more SIGTERM in a series of restarts brings a grace of its own."""
-    asked = []
+def test_second_signal_extends_the_shutdown_in_progress(monkeypatch):
+    """The platform may start a new grace period with each SIGTERM."""
+    requests = []
 
     async def stop(one: proxy.Proxy) -> None:
-        # A stop that is under way, until it has seen two signals.
+        # Stays in progress until both signals have arrived.
         os.kill(os.getpid(), signal.SIGTERM)
-        await helper.until(lambda: len(asked) == 2)
+        await helper.until(lambda: len(requests) == 2)
         await one.close()
 
     async def work():
@@ -57,17 +57,17 @@
         loop.call_later(0, os.kill, os.getpid(), signal.SIGTERM)
         await serve.serve(settings.Settings(process, platform), "none")
 
-    def ask(one: proxy.Proxy) -> None:
-        asked.append(one)
+    def record_request(one: proxy.Proxy) -> None:
+        requests.append(one)
 
     monkeypatch.setattr(proxy.Proxy, "stop", stop)
-    monkeypatch.setattr(proxy.Proxy, "request_stop", ask)
+    monkeypatch.setattr(proxy.Proxy, "request_stop", record_request)
     monkeypatch.setattr(serve, "_freeze_startup_objects", lambda: None)
-    missed = []
-    before = signal.signal(signal.SIGTERM, lambda *_: missed.append(True))
+    unhandled = []
+    before = signal.signal(signal.SIGTERM, lambda *_: unhandled.append(True))
     try:
         helper.run(work())
     finally:
         signal.signal(signal.SIGTERM, before)
-    assert len(asked) == 2
-    assert missed == []
+    assert len(requests) == 2
+    assert unhandled == []
--- a/test/test_start.py
+++ b/test/test_start.py
@@ -1,4 +1,4 @@
-"""Modules that are imported at the start of `forklift run`."""
+"""Modules that `forklift run` imports when it starts."""
 
 import json
 import subprocess
