--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -1,6 +1,6 @@
-"""The admin address: operators ask, scrapers read, targets announce.
+"""Admin interface: HTTP API for operators, metric scrapers and targets.
 
-A small HTTP server over h11. What it can do is a registry of handlers.
+Handlers are registered by method and path with `handles`.
 """
 
 import dataclasses
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdminRequest:
-    """One request to the admin address.
+    """Request to the admin interface.
 
     Attributes:
-        name: Last part of the path, for handlers that take one.
-        query: Parameters of the query.
-        body: The body.
+        name: Name in the path; empty if the path of the handler has none.
+        query: Parameters of the query string.
+        body: Body of the request.
     """
 
     name: str
@@ -40,12 +40,16 @@
 
 Handler = Callable[["AdminServer", AdminRequest], Awaitable[server.Response]]
 handler_by_route: dict[tuple[str, str], Handler] = {}
-# Read by scrapers and health checks that hold no key.
-_OPEN = ("healthz", "readyz", "metrics")
+# Scrapers and health checks read these without a key.
+_PUBLIC_PATHS = ("healthz", "readyz", "metrics")
 
 
 def handles(method: str, path: str) -> Callable[[Handler], Handler]:
-    """Registers a handler; a path that ends in / takes a name."""
+    """Registers a handler for a method and a path.
+
+    A name follows the first slash of the path: `targets/drain` handles requests
+    to `/targets/NAME/drain`, and `targets/` those to `/targets/NAME`.
+    """
 
     def register(handler: Handler) -> Handler:
         handler_by_route[(method, path)] = handler
@@ -55,22 +59,28 @@
 
 
 class AdminServer:
-    """The admin server of one process."""
+    """Admin server of one process.
+
+    Attributes:
+        proxy: The process.
+        on_stop_requested: Called when an operator drains the process.
+        rejected: Number of requests without a valid key.
+        telemetry: Metrics of the process; None before the first scrape.
+    """
 
     def __init__(self, proxy):
         self.proxy = proxy
         self.on_stop_requested: Callable[[], None] = lambda: None
-        self._server = server.Server(self._answer)
+        self._server = server.Server(self._handle)
         self._key = proxy.settings.process.key.encode()
         self.rejected = 0
-        # Built when metrics are first read.
         self.telemetry = None
 
     async def open(self) -> None:
-        """Listens.
+        """Starts to listen.
 
         Raises:
-            errors.UserError: The address is taken.
+            errors.UserError: The process can't listen on the address.
         """
         address = self.proxy.settings.process.admin
         try:
@@ -82,93 +92,92 @@
 
     @property
     def address(self) -> str:
-        """Where it listens; empty while it does not."""
+        """Address that the server listens on; empty before `open`."""
         return self._server.address
 
     def close(self) -> None:
         """Stops listening."""
         self._server.close()
 
-    async def _answer(self, request: server.Request) -> server.Response:
+    async def _handle(self, request: server.Request) -> server.Response:
         method = request.method
-        target = urllib.parse.urlsplit(request.target)
-        path, name = _split(method, target.path)
+        url = urllib.parse.urlsplit(request.target)
+        path, name = _match_path(method, url.path)
         handler = handler_by_route.get((method, path))
         if handler is None:
-            return error_response(404, "no such call; see docs/OPERATIONS.md")
-        if path not in _OPEN and not self._allowed(request):
+            return error_response(
+                404, "unknown method or path; see docs/OPERATIONS.md"
+            )
+        if path not in _PUBLIC_PATHS and not self._is_authorized(request):
             self.rejected += 1
             _log.warning("admin_refused", call=path)
             return error_response(
-                401, "the key is wrong or absent; pass the [process] key"
+                401, "the key is missing or wrong; pass the [process] key"
             )
-        query = dict(urllib.parse.parse_qsl(target.query))
+        query = dict(urllib.parse.parse_qsl(url.query))
         try:
             return await handler(self, AdminRequest(name, query, request.body))
         except errors.UserError as error:
             return error_response(400, str(error))
         except msgspec.MsgspecError as error:
-            return error_response(
-                400, f"{error}; send the JSON that docs describe"
-            )
+            return error_response(400, f"{error}; send JSON as documented")
 
-    def _allowed(self, request: server.Request) -> bool:
+    def _is_authorized(self, request: server.Request) -> bool:
         if not self._key:
             return True
-        given = http.value(request.headers, b"authorization") or b""
-        return hmac.compare_digest(given, b"Bearer " + self._key)
+        authorization = http.value(request.headers, b"authorization") or b""
+        return hmac.compare_digest(authorization, b"Bearer " + self._key)
 
 
-def _split(method: str, path: str) -> tuple[str, str]:
-    """Splits a path into the part of the registry and a name.
+def _match_path(method: str, path: str) -> tuple[str, str]:
+    """Returns the registered path that matches a path, and the name in it.
 
-    >>> _split("POST", "/targets/releves-1")
+    >>> _match_path("POST", "/targets/releves-1")
     ('targets/', 'releves-1')
     """
-    bare = path.strip("/")
-    if (method, bare) in handler_by_route:
-        return bare, ""
+    stripped = path.strip("/")
+    if (method, stripped) in handler_by_route:
+        return stripped, ""
     for registered_method, registered in handler_by_route:
-        head, _, tail = registered.partition("/")
-        if registered_method != method or not _:
+        head, slash, tail = registered.partition("/")
+        if registered_method != method or not slash:
             continue
-        parts = bare.split("/")
+        parts = stripped.split("/")
         if parts[0] != head or len(parts) < 2:
             continue
         if "/".join(parts[2:]) == tail:
             return registered, urllib.parse.unquote(parts[1])
-    return bare, ""
+    return stripped, ""
 
 
 def json_response(value: msgspec.Struct, status: int = 200) -> server.Response:
-    """A reply with a report."""
+    """Returns a response with a report as its JSON body."""
     return server.Response(status, msgspec.json.encode(value))
 
 
 def error_response(status: int, message: str) -> server.Response:
-    """A reply with an error."""
+    """Returns an error response with a message for the operator."""
     return json_response(report.Problem(message), status)
 
 
 @handles("GET", "healthz")
-async def healthz(admin: AdminServer, call: AdminRequest) -> server.Response:
-    """Whether the process runs."""
+async def healthz(admin: AdminServer, request: AdminRequest) -> server.Response:
+    """Liveness check: succeeds while the process runs."""
     return server.Response(200, b"ok\n", b"text/plain")
 
 
 @handles("GET", "readyz")
-async def readyz(admin: AdminServer, call: AdminRequest) -> server.Response:
-    """Whether callers should be sent here."""
+async def readyz(admin: AdminServer, request: AdminRequest) -> server.Response:
+    """Readiness check: succeeds while the process accepts callers."""
     ready = admin.proxy.ready()
     body = b"ready\n" if ready else b"not ready\n"
     return server.Response(200 if ready else 503, body, b"text/plain")
 
 
 @handles("GET", "metrics")
-async def metrics(admin: AdminServer, call: AdminRequest) -> server.Response:
-    """Metrics in the Prometheus text format."""
-    # Loading the library costs 0.1 s, which a process that nobody scrapes
-    # need not spend.
+async def metrics(admin: AdminServer, request: AdminRequest) -> server.Response:
+    """Returns the metrics in the Prometheus text format."""
+    # Imported on the first scrape because OpenTelemetry is slow to import.
     from forklift.shell import telemetry  # noqa: PLC0415
 
     if admin.telemetry is None:
@@ -178,46 +187,48 @@
 
 
 @handles("GET", "status")
-async def status(admin: AdminServer, call: AdminRequest) -> server.Response:
-    """What the process sees of the fleet."""
+async def status(admin: AdminServer, request: AdminRequest) -> server.Response:
+    """Returns the fleet as seen by the process."""
     return json_response(reports.build_status(admin.proxy))
 
 
 @handles("GET", "state")
-async def state(admin: AdminServer, call: AdminRequest) -> server.Response:
-    """The full dump of the process."""
+async def state(admin: AdminServer, request: AdminRequest) -> server.Response:
+    """Returns the complete state of the process."""
     return json_response(reports.build_state_dump(admin.proxy))
 
 
 @handles("GET", "explain/")
 async def explain_target(
-    admin: AdminServer, call: AdminRequest
+    admin: AdminServer, request: AdminRequest
 ) -> server.Response:
-    """The recent doubts about a target beside the process."""
-    name = admin.proxy.target_registry.find(call.name)
-    found = reports.explain_target(admin.proxy, name or call.name)
+    """Returns the state and the recent ejections of a target of the process."""
+    name = admin.proxy.target_registry.find(request.name)
+    found = reports.explain_target(admin.proxy, name or request.name)
     if found is None:
-        return error_response(404, f"no target {call.name} beside this process")
+        return error_response(404, f"no target {request.name} at this process")
     return json_response(found)
 
 
 @handles("POST", "targets/")
 async def announce_target(
-    admin: AdminServer, call: AdminRequest
+    admin: AdminServer, request: AdminRequest
 ) -> server.Response:
-    """A target announces itself, or renews."""
-    said = msgspec.json.decode(call.body, type=report.TargetAnnouncement)
-    _check(call.name, said)
+    """Records the registration or heartbeat of a target."""
+    announcement = msgspec.json.decode(
+        request.body, type=report.TargetAnnouncement
+    )
+    _check_announcement(request.name, announcement)
     proxy = admin.proxy
     proxy.target_registry.record_heartbeat(
         heartbeats.Heartbeat(
-            heartbeats.TargetIncarnation(call.name, said.born),
-            said.service,
-            said.address,
+            heartbeats.TargetIncarnation(request.name, announcement.born),
+            announcement.service,
+            announcement.address,
             proxy.settings.process.domain,
-            said.slots,
-            said.leaving,
-            said.sequence,
+            announcement.slots,
+            announcement.leaving,
+            announcement.sequence,
         )
     )
     return json_response(reports.build_status(proxy))
@@ -225,50 +236,52 @@
 
 @handles("POST", "targets/drain")
 async def drain_target(
-    admin: AdminServer, call: AdminRequest
+    admin: AdminServer, request: AdminRequest
 ) -> server.Response:
-    """A target is to take no new request."""
-    name = admin.proxy.target_registry.find(call.name)
+    """Drains a target of the process."""
+    name = admin.proxy.target_registry.find(request.name)
     if name is None:
-        return error_response(404, f"no target {call.name} beside this process")
+        return error_response(404, f"no target {request.name} at this process")
     admin.proxy.local_targets.drain(name)
     return json_response(reports.explain_target(admin.proxy, name))
 
 
 @handles("DELETE", "targets/")
 async def remove_target(
-    admin: AdminServer, call: AdminRequest
+    admin: AdminServer, request: AdminRequest
 ) -> server.Response:
-    """A target is gone."""
+    """Records that a target has stopped or is about to stop."""
     admin.proxy.target_registry.record_leave(
-        heartbeats.parse_incarnation(call.name)
+        heartbeats.parse_incarnation(request.name)
     )
     return json_response(reports.build_status(admin.proxy))
 
 
 @handles("POST", "drain")
 async def drain_process(
-    admin: AdminServer, call: AdminRequest
+    admin: AdminServer, request: AdminRequest
 ) -> server.Response:
-    """A planned stop of the process."""
+    """Starts a graceful shutdown of the process."""
     admin.on_stop_requested()
     return json_response(reports.build_status(admin.proxy))
 
 
-def _check(name: str, said: report.TargetAnnouncement) -> None:
+def _check_announcement(
+    name: str, announcement: report.TargetAnnouncement
+) -> None:
     try:
         ini.name(name)
-        ini.address(said.address)
+        ini.address(announcement.address)
     except ValueError as error:
         raise errors.UserError(
-            f"the announcement of {name} is not usable; {error}"
+            f"the announcement of {name} is invalid; {error}"
         ) from error
-    if said.slots < 1:
+    if announcement.slots < 1:
         raise errors.UserError(
-            f"the announcement of {name} names no slots; send at least 1"
+            f"the announcement of {name} has no slots; send at least 1"
         )
-    if said.born < 0:
+    if announcement.born < 0:
         raise errors.UserError(
-            f"the announcement of {name} tells no time of birth; send Unix "
-            "milliseconds, or leave it out"
+            f"the announcement of {name} has an invalid start time; send "
+            "born in Unix milliseconds, or omit it"
         )
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -1,16 +1,16 @@
-"""Builds the reports of a running process."""
+"""Builds the reports of the admin interface from a running process."""
 
 import forklift
 from forklift import invariants
 from forklift import report
 from forklift.shell import local_targets
 
-# Organisations that a dump lists by name.
+# A state dump lists the busiest organisations by name and sums up the others.
 MAX_LISTED_ORGANISATIONS = 20
 
 
 def build_status(proxy) -> report.Status:
-    """What a process sees of the fleet."""
+    """Returns the fleet as seen by a process."""
     return report.Status(
         proxy.directory.own.name,
         forklift.VERSION,
@@ -24,7 +24,7 @@
 
 
 def build_state_dump(proxy) -> report.StateDump:
-    """The full dump of a process."""
+    """Returns the complete state of a process."""
     requests = {
         "/".join(part for part in key if part): count
         for key, count in proxy.counters.requests_by_outcome.items()
@@ -43,78 +43,80 @@
         proxy.running(),
         proxy.ingress.connections,
         proxy.incarnation,
-        _held(proxy),
+        _quarantined(proxy),
         {"calls": proxy.store.calls, "failures": proxy.store.failures},
-        _organisations(proxy),
+        _organisation_usages(proxy),
     )
 
 
-def _organisations(proxy) -> tuple[report.OrganisationUsage, ...]:
+def _organisation_usages(proxy) -> tuple[report.OrganisationUsage, ...]:
     quota = proxy.rate_limiter.limiter.quota
     now = proxy.clock.monotonic()
-    found = []
-    for name, use in quota.usage_by_organisation.items():
+    usages = []
+    for name, usage in quota.usage_by_organisation.items():
         limit = proxy.active_catalog.catalog.organisation(name)
-        found.append(
+        usages.append(
             report.OrganisationUsage(
                 name,
-                use.admitted,
-                use.refused,
+                usage.admitted,
+                usage.refused,
                 limit.rate if limit is not None else 0.0,
                 round(quota.leased_share(name, now), 4),
-                round(use.rate(now), 2),
+                round(usage.rate(now), 2),
             )
         )
-    found.sort(key=lambda one: (-one.admitted - one.refused, one.name))
-    rest = found[MAX_LISTED_ORGANISATIONS:]
+    usages.sort(key=lambda usage: (-usage.admitted - usage.refused, usage.name))
+    rest = usages[MAX_LISTED_ORGANISATIONS:]
     if rest:
-        admitted = sum(one.admitted for one in rest)
-        refused = sum(one.refused for one in rest)
-        found[MAX_LISTED_ORGANISATIONS:] = [
+        admitted = sum(usage.admitted for usage in rest)
+        refused = sum(usage.refused for usage in rest)
+        usages[MAX_LISTED_ORGANISATIONS:] = [
             report.OrganisationUsage("", admitted, refused)
         ]
-    return tuple(found)
+    return tuple(usages)
 
 
-def _held(proxy) -> dict[str, float]:
+def _quarantined(proxy) -> dict[str, float]:
     now = proxy.clock.monotonic()
     return {
-        one.hex(): round(proxy.quarantine.quarantined_for(one, now), 1)
-        for one in proxy.quarantine.quarantined(now)
+        fingerprint.hex(): round(
+            proxy.quarantine.quarantined_for(fingerprint, now), 1
+        )
+        for fingerprint in proxy.quarantine.quarantined(now)
     }
 
 
 def explain_target(proxy, name: str) -> report.TargetExplanation | None:
-    """Why a target beside this process stands so; None when not here."""
+    """Explains the state of a target; None if the process does not own it."""
     local_target = proxy.local_targets.by_name.get(name)
     if local_target is None:
         return None
-    found = local_target.controller
-    load = found.load(proxy.clock.monotonic())
+    controller = local_target.controller
+    load = controller.load(proxy.clock.monotonic())
     return report.TargetExplanation(
         name,
-        found.service,
+        controller.service,
         proxy.directory.own.name,
         str(load.state),
-        str(found.health.signal),
-        found.running,
-        found.waiting,
-        found.slots,
+        str(controller.health.signal),
+        controller.running,
+        controller.waiting,
+        controller.slots,
         load.idle,
         load.unhealthy_probability,
-        found.latencies.medians_by_route(),
-        {str(r): count for r, count in found.refusals_by_reason.items()},
-        _changes(proxy, local_target),
+        controller.latencies.medians_by_route(),
+        {str(r): count for r, count in controller.refusals_by_reason.items()},
+        _ejection_changes(proxy, local_target),
     )
 
 
-def _changes(
+def _ejection_changes(
     proxy, local_target: local_targets.LocalTarget
 ) -> tuple[report.EjectionChange, ...]:
-    offset = proxy.clock.wall() - proxy.clock.monotonic()
+    wall_offset = proxy.clock.wall() - proxy.clock.monotonic()
     return tuple(
         report.EjectionChange(
-            round(change.at + offset, 3),
+            round(change.at + wall_offset, 3),
             change.ejected,
             str(change.signal),
             change.unhealthy_probability,
@@ -144,13 +146,13 @@
 
 def _processes(proxy) -> tuple[report.Process, ...]:
     own = proxy.directory.own
-    found = [
+    processes = [
         report.Process(own.name, own.domain, own.admin, "self", own.config)
     ]
     for name, member in sorted(proxy.directory.member_by_name.items()):
         info = member.info
         liveness = member.liveness.name.lower()
-        found.append(
+        processes.append(
             report.Process(name, info.domain, info.admin, liveness, info.config)
         )
-    return tuple(found)
+    return tuple(processes)
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, read by a scrape of the admin address."""
+"""OpenTelemetry metrics, exported to Prometheus by the admin interface."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -14,12 +14,16 @@
 from forklift import invariants
 from forklift.shell import logs
 
+# Value and labels.
 Sample = tuple[float, dict[str, str]]
 ReadSamples = Callable[[], Iterable[Sample]]
 
 
 class Telemetry:
-    """The instruments of one process, over the figures that it keeps."""
+    """Metrics of one process.
+
+    Instruments read the counters of the process when they are scraped.
+    """
 
     def __init__(self, proxy):
         reader = prometheus.PrometheusMetricReader()
@@ -35,32 +39,32 @@
         self._add_fleet(proxy)
 
     def render(self) -> bytes:
-        """All metrics in the Prometheus text format."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest()
 
     def add_counter(
         self, name: str, description: str, read: ReadSamples
     ) -> None:
-        """Adds a counter that is read when scraped."""
+        """Adds a counter whose samples are read at each scrape."""
         self._meter.create_observable_counter(
-            name, callbacks=[_callback(read)], description=description
+            name, callbacks=[_make_callback(read)], description=description
         )
 
     def add_gauge(self, name: str, description: str, read: ReadSamples) -> None:
-        """Adds a gauge that is read when scraped."""
+        """Adds a gauge whose samples are read at each scrape."""
         self._meter.create_observable_gauge(
-            name, callbacks=[_callback(read)], description=description
+            name, callbacks=[_make_callback(read)], description=description
         )
 
     def _add_requests(self, proxy) -> None:
-        kept = proxy.counters
+        counters = proxy.counters
         self.add_counter(
             "forklift.requests",
             "Requests at this entry by outcome and reason",
             lambda: [
                 (count, {"outcome": outcome, "reason": reason})
                 for (outcome, reason), count in (
-                    kept.requests_by_outcome.items()
+                    counters.requests_by_outcome.items()
                 )
             ],
         )
@@ -69,16 +73,16 @@
             "Requests that took up to `le` seconds",
             lambda: [
                 (count, {"service": service, "le": bound})
-                for service, found in kept.durations_by_service.items()
-                for bound, count in found.cumulative()
+                for service, histogram in counters.durations_by_service.items()
+                for bound, count in histogram.cumulative()
             ],
         )
         self.add_counter(
             "forklift.request.seconds.sum",
             "Seconds that requests took in all",
             lambda: [
-                (found.sum, {"service": service})
-                for service, found in kept.durations_by_service.items()
+                (histogram.sum, {"service": service})
+                for service, histogram in counters.durations_by_service.items()
             ],
         )
         self.add_counter(
@@ -168,17 +172,21 @@
         self.add_counter(
             "forklift.invariants.broken",
             "Broken promises",
-            lambda: _by(invariants.violations_by_invariant, "promise"),
+            lambda: _samples_by_key(
+                invariants.violations_by_invariant, "promise"
+            ),
         )
         self.add_counter(
             "forklift.expressions.failed",
             "Policy expressions that fell back to their default",
-            lambda: _by(expressions.failures_by_expression, "expression"),
+            lambda: _samples_by_key(
+                expressions.failures_by_expression, "expression"
+            ),
         )
         self.add_counter(
             "forklift.unreadable",
             "What came from outside and could not be used, by source",
-            lambda: _by(invalid_input.count_by_source, "source"),
+            lambda: _samples_by_key(invalid_input.count_by_source, "source"),
         )
         self.add_gauge(
             "forklift.config.version",
@@ -197,11 +205,11 @@
         )
 
 
-def _by(values: dict, label: str) -> list[Sample]:
-    return [(count, {label: str(key)}) for key, count in values.items()]
+def _samples_by_key(value_by_key: dict, label: str) -> list[Sample]:
+    return [(count, {label: str(key)}) for key, count in value_by_key.items()]
 
 
-def _callback(read: ReadSamples):
+def _make_callback(read: ReadSamples):
     def observe(options: metrics.CallbackOptions):
         for value, labels in read():
             yield metrics.Observation(value, labels)
