--- a/forklift/shell/authentication.py
+++ b/forklift/shell/authentication.py
@@ -1,8 +1,8 @@
-"""Codes on control messages: none is forged, passed to another or replayed.
+"""Authenticates control messages and detects replayed ones.
 
-A code covers the receiver's address, the sender's boot, a counter and the
-bytes. Messages may overtake each other, so of each boot the counters just below
-the highest are remembered one by one.
+The message authentication code covers the address of the receiver, the boot id
+of the sender, a counter, the time and the message. As messages can be
+reordered, a sliding window of recent counters is kept for each sender.
 """
 
 import hmac
@@ -12,18 +12,19 @@
 from forklift import messages
 
 _HEADER = struct.Struct("!QQd")
-_CODE_BYTES = 16
-# Seconds by which the sender's clock may differ, the way included.
+_MAC_BYTES = 16
+# Maximum age of a message in seconds, clock skew included.
 MAX_AGE = 10.0
-# Counters below the highest that are told apart; older ones are refused. A
-# message that overtakes another does so by a few.
+# Size of the replay window in counters. Messages with older counters are
+# rejected, so reordering by more than this loses messages.
 REPLAY_WINDOW = 256
-# Boots that are remembered; an older message is refused by its time alone.
-MAX_BOOTS = 1024
+# Number of senders above which windows that were not used lately are dropped.
+# Replayed messages of these senders are rejected by their age.
+MAX_TRACKED_BOOTS = 1024
 
 
 class _ReplayWindow:
-    """Counters of one boot that were seen.
+    """Sliding window of the counters received from one sender.
 
     >>> seen = _ReplayWindow()
     >>> [seen.accept(number) for number in (5, 3, 5, 4, 3, 400, 6)]
@@ -31,13 +32,13 @@
     """
 
     def __init__(self):
-        self.at = 0.0
+        self.last_used = 0.0
         self._highest = 0
-        # One bit for each counter from the highest down.
+        # Bit n is set if the counter n below the highest was received.
         self._bits = 0
 
     def accept(self, counter: int) -> bool:
-        """Whether a counter is new."""
+        """Records a counter; returns whether it is new."""
         if counter > self._highest:
             self._bits <<= min(REPLAY_WINDOW, counter - self._highest)
             self._bits = (self._bits | 1) & ((1 << REPLAY_WINDOW) - 1)
@@ -51,55 +52,72 @@
 
 
 class MessageAuthenticator:
-    """Puts codes on messages, and checks those of others."""
+    """Signs outgoing messages and verifies incoming ones."""
 
-    def __init__(self, boot: int, key: bytes, wall: Callable[[], float]):
+    def __init__(self, boot: int, key: bytes, wall_clock: Callable[[], float]):
         self._boot = boot
         self._key = key
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._counter = 0
-        self._seen_by_boot: dict[int, _ReplayWindow] = {}
+        self._window_by_boot: dict[int, _ReplayWindow] = {}
 
     def sign(self, receiver: str, data: bytes) -> bytes:
-        """A message with its code, for one address."""
+        """Returns the message with its header and authentication code.
+
+        Args:
+            receiver: Address that the message is sent to.
+            data: The message.
+        """
         self._counter += 1
-        header = _HEADER.pack(self._boot, self._counter, self._wall())
-        return header + self._code(receiver, header, data) + data
+        header = _HEADER.pack(self._boot, self._counter, self._wall_clock())
+        return header + self._compute_mac(receiver, header, data) + data
+
+    def verify(self, own_address: str, signed: bytes) -> bytes:
+        """Returns the message without its header and authentication code.
 
-    def verify(self, own: str, sealed: bytes) -> bytes:
-        """The message in what arrived at this address.
+        Args:
+            own_address: Address that the message was sent to.
+            signed: The message as received.
 
         Raises:
-            messages.MalformedMessage: Nobody who knows the key sent it here,
-                now.
+            messages.MalformedMessage: The code is wrong, or the message is too
+                old or was received before.
         """
-        start = _HEADER.size + _CODE_BYTES
-        if len(sealed) < start:
-            raise messages.MalformedMessage("too short for its code")
-        header = sealed[: _HEADER.size]
-        code = sealed[_HEADER.size : start]
-        data = sealed[start:]
-        if not hmac.compare_digest(code, self._code(own, header, data)):
-            raise messages.MalformedMessage("the shared key differs")
-        boot, counter, sent = _HEADER.unpack(header)
-        self._check_fresh(boot, counter, sent)
+        start = _HEADER.size + _MAC_BYTES
+        if len(signed) < start:
+            raise messages.MalformedMessage(
+                "message is shorter than its header"
+            )
+        header = signed[: _HEADER.size]
+        mac = signed[_HEADER.size : start]
+        data = signed[start:]
+        if not hmac.compare_digest(
+            mac, self._compute_mac(own_address, header, data)
+        ):
+            raise messages.MalformedMessage(
+                "wrong authentication code; the shared key differs"
+            )
+        boot, counter, sent_at = _HEADER.unpack(header)
+        self._check_fresh(boot, counter, sent_at)
         return data
 
-    def _check_fresh(self, boot: int, counter: int, sent: float) -> None:
-        now = self._wall()
-        if abs(now - sent) > MAX_AGE:
-            raise messages.MalformedMessage("its time is too far from ours")
-        seen = self._seen_by_boot.setdefault(boot, _ReplayWindow())
-        seen.at = now
-        if not seen.accept(counter):
-            raise messages.MalformedMessage("played again")
-        if len(self._seen_by_boot) > MAX_BOOTS:
-            self._seen_by_boot = {
-                known: seen
-                for known, seen in self._seen_by_boot.items()
-                if now - seen.at <= 2 * MAX_AGE
+    def _check_fresh(self, boot: int, counter: int, sent_at: float) -> None:
+        now = self._wall_clock()
+        if abs(now - sent_at) > MAX_AGE:
+            raise messages.MalformedMessage(
+                "message time differs too much from the clock"
+            )
+        window = self._window_by_boot.setdefault(boot, _ReplayWindow())
+        window.last_used = now
+        if not window.accept(counter):
+            raise messages.MalformedMessage("message was replayed")
+        if len(self._window_by_boot) > MAX_TRACKED_BOOTS:
+            self._window_by_boot = {
+                known_boot: window
+                for known_boot, window in self._window_by_boot.items()
+                if now - window.last_used <= 2 * MAX_AGE
             }
 
-    def _code(self, address: str, header: bytes, data: bytes) -> bytes:
-        text = address.encode() + b"\0" + header + data
-        return hmac.digest(self._key, text, "sha256")[:_CODE_BYTES]
+    def _compute_mac(self, address: str, header: bytes, data: bytes) -> bytes:
+        authenticated_data = address.encode() + b"\0" + header + data
+        return hmac.digest(self._key, authenticated_data, "sha256")[:_MAC_BYTES]
--- a/forklift/shell/control_channel.py
+++ b/forklift/shell/control_channel.py
@@ -1,7 +1,7 @@
-"""Control messages between processes: small ones by datagram, others by nng.
+"""Sends and receives control messages: small ones by UDP, others over nng.
 
-Each message is one way and may be lost, which is how the decisions treat it.
-With a shared key each carries a code (`sealing`).
+Messages are one-way and may be lost; the protocols tolerate this. If a shared
+key is set, each message carries an authentication code (`authentication`).
 """
 
 import errno
@@ -15,43 +15,54 @@
 from forklift.shell import datagrams
 from forklift.shell import push_sockets
 
-# What `Control.open` raises besides OSError.
+# Raised by `ControlChannel.open`, as is OSError, if it can't listen.
 ListenError = push_sockets.pynng.NNGException
 
 _log = structlog.get_logger(__name__)
 
-# Larger messages are compressed, bytes: news of several processes shrinks to a
-# third, a single description hardly.
+# Messages from this size in bytes are compressed. Smaller ones, such as the
+# description of a single process, hardly shrink.
 MIN_COMPRESS_BYTES = 256
-# The first byte of what zlib makes; no message of ours begins with it.
-_ZLIB = 0x78
-# Ports that are tried where the system chooses: both kinds share a number.
+# First byte of zlib data; no encoded message starts with it.
+_ZLIB_HEADER_BYTE = 0x78
+# Number of ephemeral ports to try: TCP and UDP listen at the same port number,
+# which may be in use for one of them.
 MAX_PORT_ATTEMPTS = 16
 
 
 class ControlChannel:
-    """Sends and receives control messages; see `interfaces.Transport`."""
+    """Sends and receives control messages; see `interfaces.Transport`.
+
+    Attributes:
+        sent: Number of messages sent.
+        sent_bytes: Bytes of the messages sent.
+        dropped: Number of messages that could not be sent.
+        received: Number of messages received, rejected ones included.
+        received_bytes: Bytes of the messages received.
+        rejected: Number of malformed or unauthenticated messages received.
+    """
 
     def __init__(
         self,
         address: str,
         boot: int,
         key: bytes,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         on_message: Callable[[messages.Control], None],
-        public: str = "",
+        public_address: str = "",
     ):
         self._address = address
-        # Where others send to, if that is another address; codes cover it.
-        self._public = public
-        self._seal = (
-            authentication.MessageAuthenticator(boot, key, wall)
+        # Address that peers send to, if different from the listen address. The
+        # authentication codes cover it.
+        self._public_address = public_address
+        self._authenticator = (
+            authentication.MessageAuthenticator(boot, key, wall_clock)
             if key
             else None
         )
         self._on_message = on_message
-        self._datagrams = datagrams.DatagramSocket(self._take)
-        self._push_sockets = push_sockets.PushSockets(self._take)
+        self._datagrams = datagrams.DatagramSocket(self._handle_data)
+        self._push_sockets = push_sockets.PushSockets(self._handle_data)
         self.sent = 0
         self.sent_bytes = 0
         self.dropped = 0
@@ -60,32 +71,34 @@
         self.rejected = 0
 
     def open(self) -> None:
-        """Listens; port 0 lets the system choose one.
+        """Starts to listen; the system chooses the port if it is 0.
 
         Raises:
-            pynng.AddressInUse, OSError: The address is taken.
+            pynng.AddressInUse, OSError: The address is in use.
         """
-        for left in reversed(range(MAX_PORT_ATTEMPTS)):
-            found = self._push_sockets.open(self._address)
+        for attempts_left in reversed(range(MAX_PORT_ATTEMPTS)):
+            bound_address = self._push_sockets.open(self._address)
             try:
-                self._datagrams.open(found)
+                self._datagrams.open(bound_address)
             except OSError as error:
-                chosen = found != self._address
-                if error.errno != errno.EADDRINUSE or not (chosen and left):
+                ephemeral = bound_address != self._address
+                if error.errno != errno.EADDRINUSE or not (
+                    ephemeral and attempts_left
+                ):
                     raise
                 self._push_sockets.stop_listening()
                 continue
-            self._address = found
+            self._address = bound_address
             return
 
     @property
     def address(self) -> str:
-        """Where it listens, once it does."""
+        """Listen address, "ip:port"; with the chosen port after `open`."""
         return self._address
 
     @property
     def reconnects(self) -> int:
-        """Connections that were opened anew as one fell silent."""
+        """Number of connections replaced because the peer did not reply."""
         return self._push_sockets.reconnects
 
     async def close(self) -> None:
@@ -100,66 +113,70 @@
         new_connection: bool = False,
     ) -> bool:
         """See `interfaces.Transport`."""
-        data = _pack(messages.encode(message))
-        if self._seal is not None:
-            data = self._seal.sign(address, data)
+        data = _compress(messages.encode(message))
+        if self._authenticator is not None:
+            data = self._authenticator.sign(address, data)
         if len(data) <= datagrams.MAX_DATAGRAM_BYTES:
-            taken = self._datagrams.send(address, data)
+            accepted = self._datagrams.send(address, data)
         else:
-            taken = self._push_sockets.send(address, data, new_connection)
-        if not taken:
+            accepted = self._push_sockets.send(address, data, new_connection)
+        if not accepted:
             self.dropped += 1
             return False
         self.sent += 1
         self.sent_bytes += len(data)
         return True
 
-    def _take(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         self.received += 1
         self.received_bytes += len(data)
         try:
-            if self._seal is not None:
-                data = self._seal.verify(self._public or self._address, data)
-            message = messages.decode_control(_unpack(data))
+            if self._authenticator is not None:
+                data = self._authenticator.verify(
+                    self._public_address or self._address, data
+                )
+            message = messages.decode_control(_decompress(data))
         except messages.MalformedMessage as error:
             self.rejected += 1
-            _log.warning("control_refused", detail=str(error))
+            _log.warning("control_message_rejected", detail=str(error))
             return
         try:
             self._on_message(message)
         except Exception:
-            _log.exception("control_failed", kind=type(message).__name__)
+            _log.exception(
+                "control_message_handler_failed", kind=type(message).__name__
+            )
 
 
-def _pack(data: bytes) -> bytes:
-    """Compresses what gains by it.
+def _compress(data: bytes) -> bytes:
+    """Compresses large messages.
 
-    >>> len(_pack(b"x" * 1000)) < 100
+    >>> len(_compress(b"x" * 1000)) < 100
     True
     """
     return zlib.compress(data) if len(data) >= MIN_COMPRESS_BYTES else data
 
 
-def _unpack(data: bytes) -> bytes:
-    r"""Expands what was compressed.
+def _decompress(data: bytes) -> bytes:
+    r"""Decompresses a message if it is compressed.
 
-    >>> _unpack(_pack(b"x" * 1000)) == b"x" * 1000, _unpack(b"\x91")
+    >>> _decompress(_compress(b"x" * 1000)) == b"x" * 1000, _decompress(b"\x91")
     (True, b'\x91')
 
     Raises:
-        messages.MalformedMessage: It is damaged, or larger than a message may
-            be.
+        messages.MalformedMessage: The data is corrupt or exceeds the maximum
+            size of a message.
     """
-    if data[:1] != bytes((_ZLIB,)):
+    if data[:1] != bytes((_ZLIB_HEADER_BYTE,)):
         return data
     stream = zlib.decompressobj()
-    most = messages.MAX_CONTROL_BYTES
+    limit = messages.MAX_CONTROL_BYTES
     try:
-        found = stream.decompress(data, most)
+        decompressed = stream.decompress(data, limit)
     except zlib.error as error:
         raise messages.MalformedMessage(str(error)) from error
     if not stream.eof:
         raise messages.MalformedMessage(
-            f"cut short, or expands to over {most} bytes"
+            f"message is truncated or expands to over {limit} bytes"
         )
-    return found
+    return decompressed
--- a/forklift/shell/control_protocols.py
+++ b/forklift/shell/control_protocols.py
@@ -1,4 +1,8 @@
-"""What this process and its peers tell each other of themselves."""
+"""Runs the protocols that exchange control messages with peers.
+
+These are membership gossip, dissemination of configuration versions and
+synchronization of the evidence for quarantined requests.
+"""
 
 import asyncio
 import random
@@ -27,14 +31,28 @@
 _log = structlog.get_logger(__name__)
 State = messages.TargetState
 
-# Processes that a new one asks for all they know.
+# Number of peers that a new process asks for the complete membership.
 JOIN_PEERS = 3
-# Entries that are asked for work at a time: one may have no callers, either.
+# Number of processes that learn of an idle target at a time. More than one, as
+# some may have no callers.
 IDLE_ANNOUNCEMENT_FANOUT = 2
 
 
 class ControlProtocols:
-    """Membership, and what travels with it."""
+    """Dispatches control messages to the protocols and sends their messages.
+
+    Attributes:
+        directory: The members known to this process.
+        gossip: Membership gossip.
+        quarantine_sync: Synchronization of evidence for quarantined requests.
+        readers: Selects the processes that read from the store.
+        dissemination: Dissemination of configuration versions.
+        has_joined: Whether the store has listed the members, or a peer has
+            sent a message.
+        store_data_lost: Set when the store lost the record of this process.
+        newest_announced_version: Newest configuration version that a peer
+            reported as active; None if no peer reported any.
+    """
 
     def __init__(
         self,
@@ -45,7 +63,7 @@
         balancer: load_balancer.LoadBalancer,
         targets: local_targets.LocalTargets,
         send: Callable[[str, messages.Control, bool], object],
-        on_record_received: Callable[[bytes, str], None],
+        on_configuration: Callable[[bytes, str], None],
         on_target_gone: Callable[[str], None],
         quarantine: quarantines.Quarantine | None = None,
         on_stored_evidence: Callable[[str, bytes], None] = lambda name, data: (
@@ -65,12 +83,10 @@
             self.directory, active_catalog, self.readers
         )
         self.has_joined = False
-        # Set where the store lost what this process had written.
         self.store_data_lost = asyncio.Event()
-        # The newest version that any process said of itself to have.
         self.newest_announced_version: int | None = None
-        # Whether the number of processes is known: one that was only spoken to
-        # by another knows two of many.
+        # Set once the store or a peer has sent the complete membership; before,
+        # only peers that have sent a message are known.
         self._size_known = False
         self._rng = rng
         self._clock = clock
@@ -78,11 +94,11 @@
         self._balancer = balancer
         self._local_targets = targets
         self._send_to = send
-        self._on_record_received = on_record_received
+        self._on_configuration = on_configuration
         self._on_target_gone = on_target_gone
         self._on_stored_evidence = on_stored_evidence
-        # Targets that an earlier run of a process had let go.
-        self._leaving_by_process: dict[str, tuple[str, ...]] = {}
+        # Targets that were leaving in the previous run of a process.
+        self._leaving_targets_by_process: dict[str, tuple[str, ...]] = {}
 
     @property
     def size_known(self) -> bool:
@@ -91,11 +107,11 @@
 
     @property
     def is_alone(self) -> bool:
-        """Whether it is known that there is no other process."""
+        """Whether this is known to be the only process."""
         return self._size_known and not self.directory.member_by_name
 
     async def join(self, store: interfaces.Registry) -> None:
-        """Makes this process known and finds others, by the store."""
+        """Registers this process at the store and discovers the others."""
         own = self.directory.own
         data = messages.encode(messages.announcement_of(own))
         await store_follower.join_fleet(
@@ -103,20 +119,24 @@
             self._rng,
             own.name,
             data,
-            self._members,
+            self._handle_store_members,
             self.store_data_lost,
             lambda: len(self.directory.member_by_name) + 1,
         )
 
     def tick(self, now: float) -> None:
-        """Lets time pass."""
+        """Runs the timers of all protocols.
+
+        Args:
+            now: Monotonic time in seconds.
+        """
         self._send(self.gossip.tick(now))
         self._send(self.dissemination.tick(now))
         self._send(self.quarantine_sync.tick(now))
-        self._learn()
+        self._apply_membership_changes()
 
     def is_active(self, now: float) -> bool:
-        """Whether there is something to tell that does not wait."""
+        """Whether a protocol has messages that should be sent soon."""
         return (
             self.gossip.has_pending_rumors
             or self.quarantine_sync.has_changes
@@ -124,33 +144,40 @@
         )
 
     def handle_pause(self) -> None:
-        """This process stood still, and may have missed what others told."""
+        """Requests evidence that may have been missed during a pause."""
         self._send(
             self.quarantine_sync.request_evidence(self._clock.monotonic())
         )
 
     def announce_idle_target(self, target: str, load: messages.Load) -> None:
-        """Has some entries of this failure domain send work to a target."""
-        near = [
+        """Announces an idle target to some processes of this failure domain.
+
+        Args:
+            target: Name of the target.
+            load: Its current load.
+        """
+        candidates = [
             member.info.control
             for member in self.directory.member_by_name.values()
             if member.liveness is messages.Liveness.ALIVE
             and member.info.domain == self.directory.own.domain
         ]
         sender = messages.sender_of(self.directory.own)
-        asked = self._rng.sample(near, min(IDLE_ANNOUNCEMENT_FANOUT, len(near)))
-        for address in asked:
+        chosen = self._rng.sample(
+            candidates, min(IDLE_ANNOUNCEMENT_FANOUT, len(candidates))
+        )
+        for address in chosen:
             message = messages.IdleTarget(sender, target, load)
             self._send([gossip.Send(address, message)])
 
     def leave(self) -> None:
-        """Tells peers that this process is leaving."""
+        """Announces to peers that this process is leaving."""
         self._send(self.gossip.leave())
 
-    def _members(self, data_by_name: dict[str, bytes]) -> None:
-        """Others announced themselves on the store.
+    def _handle_store_members(self, data_by_name: dict[str, bytes]) -> None:
+        """Handles the records of processes and of evidence in the store.
 
-        A few of them are asked for all they know; gossip brings the rest.
+        Asks a few processes for the complete membership; gossip does the rest.
         """
         self.has_joined = True
         self._size_known = True
@@ -168,7 +195,7 @@
                     invalid_input.Source.MEMBER, str(error), name=name
                 )
                 continue
-            # It may be of an earlier run than what is known by now.
+            # The record may be older than what gossip has reported.
             rumor = messages.Rumor(messages.Liveness.ALIVE, record.info)
             self.directory.apply(rumor, now)
         names = self.directory.alive()
@@ -176,13 +203,13 @@
             info = self.directory.member_by_name[name].info
             join = self.gossip.join(info.control)
             self._send([join])
-        self._learn()
+        self._apply_membership_changes()
 
     def receive(self, message: messages.Control) -> None:
-        """A control message arrived."""
+        """Handles a control message."""
         now = self._clock.monotonic()
         if isinstance(message, messages.CatalogOffer):
-            self._take(message, now)
+            self._accept_offer(message, now)
             return
         if isinstance(
             message, messages.CatalogVersion | messages.CatalogRequest
@@ -202,7 +229,7 @@
                 self._on_target_gone(name)
             return
         if isinstance(message.sender, messages.ProcessInfo):
-            self._remind(message.sender)
+            self._send_leaving_reminder(message.sender)
         self._send(self.gossip.receive(message, now))
         if not isinstance(message, messages.SyncReply):
             self._send(
@@ -219,10 +246,10 @@
                 self.newest_announced_version or 0, sender.config
             )
             self._send(self.dissemination.observe(sender, now))
-        self._learn()
+        self._apply_membership_changes()
 
-    def _remind(self, peer: messages.ProcessInfo) -> None:
-        """Tells a process that started again which targets it had let go."""
+    def _send_leaving_reminder(self, peer: messages.ProcessInfo) -> None:
+        """Tells a restarted process which of its targets were leaving."""
         known = self.directory.member_by_name.get(peer.name)
         if known is not None and known.info.boot != peer.boot:
             leaving = tuple(
@@ -231,36 +258,36 @@
                 if target.state in (State.DRAINING, State.LEFT)
             )
             if leaving:
-                self._leaving_by_process[peer.name] = leaving
-        names = self._leaving_by_process.get(peer.name, ())
-        held = {target.name for target in peer.targets}
+                self._leaving_targets_by_process[peer.name] = leaving
+        names = self._leaving_targets_by_process.get(peer.name, ())
+        announced = {target.name for target in peer.targets}
         if known is None or known.info.boot == peer.boot:
-            names = tuple(name for name in names if name in held)
+            names = tuple(name for name in names if name in announced)
         if names:
             sender = messages.sender_of(self.directory.own)
             reminder = messages.LeavingTargets(sender, names)
             self._send([gossip.Send(peer.control, reminder)])
 
-    def _take(self, offer: messages.CatalogOffer, now: float) -> None:
-        """A peer hands its configuration over; it is told on at once."""
+    def _accept_offer(self, offer: messages.CatalogOffer, now: float) -> None:
+        """Accepts a newer configuration from a peer and announces it."""
         if offer.version <= self._active_catalog.catalog.version:
             return
         _log.info(
-            "configuration_handed_on",
+            "configuration_from_peer",
             version=offer.version,
             peer=offer.sender.name,
             age=offer.age,
         )
         self.dissemination.record_offer(offer, now)
-        self._on_record_received(zlib.decompress(offer.compressed), "peer")
+        self._on_configuration(zlib.decompress(offer.compressed), "peer")
         self._send(self.dissemination.tick(now))
 
     def _send(self, sends: list[gossip.Send]) -> None:
         for send in sends:
             self._send_to(send.address, send.message, send.new_connection)
 
-    def _learn(self) -> None:
-        """Takes news of members over into the choice of targets."""
+    def _apply_membership_changes(self) -> None:
+        """Applies membership changes to the load balancer."""
         for name, info in self.directory.take_changes():
             if info is None:
                 self._balancer.remove_process(name)
@@ -271,9 +298,9 @@
             self._balancer.process_count = known + 1
 
     def update_own_targets(self) -> bool:
-        """Describes this process anew; True when that is news."""
+        """Updates the targets of this process; True if they have changed."""
         targets = tuple(
-            self._info(local_target.controller)
+            self._target_info(local_target.controller)
             for local_target in self._local_targets.by_name.values()
         )
         if targets == self.directory.own.targets:
@@ -281,23 +308,25 @@
         self.directory.update_own(targets=targets)
         return True
 
-    def _info(self, found: admission.Controller) -> messages.TargetInfo:
-        """What every process is told: only what seldom changes.
+    def _target_info(
+        self, controller: admission.Controller
+    ) -> messages.TargetInfo:
+        """Returns the description of a target that is gossiped.
 
-        Doubt and load come and go within seconds; they travel on answers and
-        to those that send here.
+        It has only what seldom changes. Ejection and load change within
+        seconds and are sent with responses and to processes that send requests.
         """
         return messages.TargetInfo(
-            found.name,
-            found.service,
+            controller.name,
+            controller.service,
             self.directory.own.domain,
-            found.slots,
-            found.state,
+            controller.slots,
+            controller.state,
             1,
         )
 
     def publish_targets(self) -> None:
-        """Tells peers of this process's targets at once."""
+        """Announces changed targets of this process to peers at once."""
         if self.update_own_targets():
-            self._learn()
+            self._apply_membership_changes()
             self.gossip.queue_rumor(self.directory.own.name)
--- a/forklift/shell/datagrams.py
+++ b/forklift/shell/datagrams.py
@@ -1,7 +1,7 @@
-"""Small messages to and from other processes, a datagram each.
+"""Small control messages between processes, each in one UDP datagram.
 
-They need no connections, so none can fall silent, and a message wakes its
-receiver once. Some are lost, which is how the decisions treat them.
+There is no connection that could become unresponsive, and each message wakes
+the receiver only once. Datagrams may be lost; the protocols tolerate this.
 """
 
 import asyncio
@@ -10,12 +10,12 @@
 
 from forklift.shell import tcp_stream
 
-# Largest message, bytes: what no network of the usual kind splits, with room
-# for the headers of tunnels.
+# Fits in the usual MTU of 1,500 bytes without fragmentation, with room for the
+# headers of tunnels.
 MAX_DATAGRAM_BYTES = 1_400
-# Messages that are taken in one wake, so that a flood does not keep the loop.
+# Bounds the datagrams read at a time, so that a flood can't block the loop.
 MAX_RECEIVES_PER_WAKEUP = 64
-# Bytes that the system may hold of either way: a burst of all peers.
+# Size of the kernel send and receive buffers: enough for a burst of all peers.
 BUFFER_BYTES = 1 << 20
 
 
@@ -27,31 +27,31 @@
         self._socket: socket.socket | None = None
 
     def open(self, address: str) -> None:
-        """Listens, on the running loop.
+        """Binds the socket and reads from it on the running event loop.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
-        made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        created = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            made.bind(tcp_stream.split_address(address))
+            created.bind(tcp_stream.split_address(address))
         except OSError:
-            made.close()
+            created.close()
             raise
-        made.setblocking(False)
+        created.setblocking(False)
         for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
-            made.setsockopt(socket.SOL_SOCKET, option, BUFFER_BYTES)
-        self._socket = made
+            created.setsockopt(socket.SOL_SOCKET, option, BUFFER_BYTES)
+        self._socket = created
         loop = asyncio.get_running_loop()
-        loop.add_reader(made.fileno(), self._receive)
+        loop.add_reader(created.fileno(), self._receive)
 
     @property
     def is_open(self) -> bool:
-        """Whether it listens."""
+        """Whether the socket is open."""
         return self._socket is not None
 
     def send(self, address: str, data: bytes) -> bool:
-        """Sends a message; False where the system does not take it."""
+        """Sends a message; returns False if it could not be sent."""
         try:
             self._socket.sendto(data, tcp_stream.split_address(address))
         except (OSError, ValueError, OverflowError):
@@ -59,7 +59,7 @@
         return True
 
     def close(self) -> None:
-        """Listens no more."""
+        """Closes the socket."""
         if self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
             self._socket.close()
@@ -74,6 +74,6 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Word of an earlier one that reached nobody.
+                # ICMP error for a datagram sent earlier.
                 continue
             self._on_data(data)
--- a/forklift/shell/framing.py
+++ b/forklift/shell/framing.py
@@ -1,7 +1,7 @@
-"""Frames between two processes: cut out of bytes, bounded by credit.
+"""Framing, compression and flow control on connections between processes.
 
-A frame is a length-prefixed message. A large body moves only as far as the
-other side gave credit, so that memory stays bounded.
+A frame is a length-prefixed message. Bodies are subject to credit-based flow
+control for each stream, which bounds the memory of the receiver.
 """
 
 import asyncio
@@ -16,69 +16,83 @@
 from forklift import messages
 
 _log = structlog.get_logger(__name__)
-_PREFIX = struct.Struct("!I")
+_LENGTH_PREFIX = struct.Struct("!I")
+# Initial credit of a stream in bytes.
 FLOW_CONTROL_WINDOW = 262_144
 NONCE_BYTES = 16
-# Marks a compressed frame in its length.
-_COMPRESSED = 1 << 31
-# Smaller frames gain nothing, bytes.
+# Bit of the length prefix that marks a compressed frame.
+_COMPRESSED_FLAG = 1 << 31
+# Frames with fewer bytes do not get smaller by compression.
 MIN_COMPRESS_BYTES = 64
-# A window of 4 KB holds the last ten heads or so, which is where a head
-# repeats; both ways cost 35 KB of memory a connection.
+# A window of 4 KB spans about ten response heads, which are much alike. The
+# state of both directions takes 35 KB of memory for each connection.
 _WINDOW_BITS = -12
 _MEMORY_LEVEL = 4
-# What ends each flushed piece of a deflate stream; it is not sent (RFC 7692).
-_FLUSHED = b"\0\0\xff\xff"
+# Trailer of each Z_SYNC_FLUSH block; removed before sending as in RFC 7692.
+_SYNC_FLUSH_MARKER = b"\0\0\xff\xff"
 
 
 class PeerConnectionLost(ConnectionError):
-    """The connection to another process is gone.
+    """The connection to another process is closed.
 
-    It is not `tcp_stream.ConnectionLost`: a request may go over another one,
-    and its caller still waits.
+    Unlike `tcp_stream.ConnectionLost`, which means that the caller is gone,
+    the request can still be sent over another connection.
     """
 
 
 class _FrameCompressor:
-    """Compresses the frames of one connection, each against those before."""
+    """Compresses frames with a deflate stream shared by the connection."""
 
     def __init__(self):
         self._stream = zlib.compressobj(
             wbits=_WINDOW_BITS, memLevel=_MEMORY_LEVEL
         )
 
-    def pack(self, data: bytes) -> bytes:
-        """Compresses one frame."""
-        packed = self._stream.compress(data)
-        packed += self._stream.flush(zlib.Z_SYNC_FLUSH)
-        return packed.removesuffix(_FLUSHED)
+    def compress(self, data: bytes) -> bytes:
+        """Returns one frame compressed."""
+        compressed = self._stream.compress(data)
+        compressed += self._stream.flush(zlib.Z_SYNC_FLUSH)
+        return compressed.removesuffix(_SYNC_FLUSH_MARKER)
 
 
 class _FrameDecompressor:
-    """Expands the compressed frames of one connection, in their order."""
+    """Decompresses the frames of one connection in order of arrival."""
 
     def __init__(self):
         self._stream = zlib.decompressobj(wbits=_WINDOW_BITS)
 
-    def expand(self, packed: bytes) -> bytes:
-        """Expands one frame.
+    def decompress(self, compressed: bytes) -> bytes:
+        """Returns one frame decompressed.
 
         Raises:
-            messages.MalformedMessage: It is damaged, or larger than a frame may
-                be.
+            messages.MalformedMessage: The data is corrupt or exceeds the
+                maximum size of a frame.
         """
-        most = messages.MAX_FRAME_BYTES
+        limit = messages.MAX_FRAME_BYTES
         try:
-            data = self._stream.decompress(packed + _FLUSHED, most)
+            data = self._stream.decompress(
+                compressed + _SYNC_FLUSH_MARKER, limit
+            )
         except zlib.error as error:
             raise messages.MalformedMessage(str(error)) from error
         if self._stream.unconsumed_tail:
-            raise messages.MalformedMessage(f"expands to over {most} bytes")
+            raise messages.MalformedMessage(
+                f"frame expands to over {limit} bytes"
+            )
         return data
 
 
 class FrameConnection(asyncio.Protocol):
-    """Splits bytes into frames; hands each on at once."""
+    """Sends and receives frames on a TCP connection.
+
+    Attributes:
+        on_frame: Called with each frame received.
+        on_batch: Called when data arrives, before its frames are decoded.
+        on_lost: Called when the connection closes.
+        peer: Address of the peer, "ip:port".
+        compress: Whether frames sent from now on are compressed. Body chunks
+            never are, as most bodies already are compressed.
+    """
 
     def __init__(
         self, on_connect: Callable[["FrameConnection"], None] | None = None
@@ -93,11 +107,9 @@
         self.on_lost: Callable[[], None] = lambda: None
         self._lost = False
         self.peer = ""
-        # Whether what is sent from now on is compressed, other than bodies,
-        # which mostly are already.
         self.compress = False
-        self._deflate: _FrameCompressor | None = None
-        self._inflate: _FrameDecompressor | None = None
+        self._compressor: _FrameCompressor | None = None
+        self._decompressor: _FrameDecompressor | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See `asyncio.Protocol`."""
@@ -112,9 +124,11 @@
         self._buffer += data
         self.on_batch()
         try:
-            self._split()
+            self._process_buffer()
         except messages.MalformedMessage as error:
-            _log.warning("peer_malformed", peer=self.peer, detail=str(error))
+            _log.warning(
+                "peer_frame_malformed", peer=self.peer, detail=str(error)
+            )
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -133,35 +147,35 @@
 
     @property
     def lost(self) -> bool:
-        """Whether what is sent goes nowhere."""
+        """Whether the connection is closed or closing."""
         if self._lost or self.transport is None:
             return True
-        # A transport that closes drops what is written, and tells of it only
-        # in a later turn of the loop.
+        # A closing transport discards writes; connection_lost is called in a
+        # later iteration of the loop.
         return self.transport.is_closing()
 
     @property
     def unsent(self) -> int:
-        """Bytes of frames that the system has not taken."""
+        """Bytes of frames that are not yet in the kernel send buffer."""
         return 0 if self.lost else self.transport.get_write_buffer_size()
 
     def send(self, frame: messages.Frame) -> None:
         """Queues a frame.
 
         Raises:
-            PeerConnectionLost: The connection is gone; nothing was sent.
+            PeerConnectionLost: The connection is closed; nothing was sent.
         """
         if self.lost:
-            raise PeerConnectionLost("peer connection lost")
+            raise PeerConnectionLost("connection to the peer lost")
         data = messages.encode(frame)
-        mark = 0
-        if self._gains(frame, data):
-            self._deflate = self._deflate or _FrameCompressor()
-            data = self._deflate.pack(data)
-            mark = _COMPRESSED
-        self.transport.write(_PREFIX.pack(mark | len(data)) + data)
-
-    def _gains(self, frame: messages.Frame, data: bytes) -> bool:
+        flag = 0
+        if self._should_compress(frame, data):
+            self._compressor = self._compressor or _FrameCompressor()
+            data = self._compressor.compress(data)
+            flag = _COMPRESSED_FLAG
+        self.transport.write(_LENGTH_PREFIX.pack(flag | len(data)) + data)
+
+    def _should_compress(self, frame: messages.Frame, data: bytes) -> bool:
         large = len(data) >= MIN_COMPRESS_BYTES
         return (
             self.compress
@@ -170,88 +184,99 @@
         )
 
     async def drain(self) -> None:
-        """Waits until the other side takes bytes again.
+        """Waits until the write buffer is below its high-water mark.
 
         Raises:
-            PeerConnectionLost: The connection is gone.
+            PeerConnectionLost: The connection is closed.
         """
         await self._can_write.wait()
         if self.lost:
-            raise PeerConnectionLost("peer connection lost")
+            raise PeerConnectionLost("connection to the peer lost")
 
-    def _split(self) -> None:
+    def _process_buffer(self) -> None:
         start = 0
-        while len(self._buffer) - start >= _PREFIX.size:
-            (prefix,) = _PREFIX.unpack_from(self._buffer, start)
-            size = prefix & ~_COMPRESSED
+        while len(self._buffer) - start >= _LENGTH_PREFIX.size:
+            (prefix,) = _LENGTH_PREFIX.unpack_from(self._buffer, start)
+            size = prefix & ~_COMPRESSED_FLAG
             if size > messages.MAX_FRAME_BYTES:
-                raise messages.MalformedMessage(f"a frame of {size} bytes")
-            end = start + _PREFIX.size + size
+                raise messages.MalformedMessage(
+                    f"frame of {size} bytes is too large"
+                )
+            end = start + _LENGTH_PREFIX.size + size
             if len(self._buffer) < end:
                 break
-            data = bytes(self._buffer[start + _PREFIX.size : end])
+            data = bytes(self._buffer[start + _LENGTH_PREFIX.size : end])
             start = end
-            if prefix & _COMPRESSED:
-                self._inflate = self._inflate or _FrameDecompressor()
-                data = self._inflate.expand(data)
+            if prefix & _COMPRESSED_FLAG:
+                self._decompressor = self._decompressor or _FrameDecompressor()
+                data = self._decompressor.decompress(data)
             self.on_frame(messages.decode_frame(data))
         del self._buffer[:start]
 
 
 class SendWindow:
-    """The credit of one stream's body on its way out."""
+    """Flow-control credit for sending the body of one stream."""
 
     def __init__(self, credit: int):
         self._credit = credit
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self.lost = False
 
     def add_credit(self, size: int) -> None:
-        """The other side took some."""
+        """Adds credit in bytes granted by the receiver."""
         self._credit += size
-        self._news.set()
+        self._changed.set()
 
     def fail(self) -> None:
-        """The stream is gone."""
+        """Fails all waits for credit, as the stream is closed."""
         self.lost = True
-        self._news.set()
+        self._changed.set()
+
+    async def acquire(self, limit: int) -> int:
+        """Waits for credit and consumes up to `limit` bytes of it.
 
-    async def acquire(self, most: int) -> int:
-        """Waits for credit and takes up to `most` of it.
+        Returns:
+            Number of bytes that may be sent.
 
         Raises:
-            PeerConnectionLost: The stream is gone.
+            PeerConnectionLost: The stream is closed.
         """
         while self._credit <= 0 and not self.lost:
-            self._news.clear()
-            await self._news.wait()
+            self._changed.clear()
+            await self._changed.wait()
         if self.lost:
-            raise PeerConnectionLost("stream lost")
-        size = min(most, self._credit)
+            raise PeerConnectionLost("stream closed")
+        size = min(limit, self._credit)
         self._credit -= size
         return size
 
 
 async def send_chunks(
-    frames: FrameConnection, window: SendWindow, stream: int, piece: bytes
+    frames: FrameConnection, window: SendWindow, stream: int, chunk: bytes
 ) -> None:
-    """Sends bytes of a body within the credit of its stream."""
+    """Sends part of a body as the credit of its stream allows."""
     start = 0
-    while start < len(piece):
+    while start < len(chunk):
         size = await window.acquire(
-            min(len(piece) - start, FLOW_CONTROL_WINDOW)
+            min(len(chunk) - start, FLOW_CONTROL_WINDOW)
         )
-        part = piece[start : start + size]
-        frames.send(messages.BodyChunk(stream, part, False))
+        data = chunk[start : start + size]
+        frames.send(messages.BodyChunk(stream, data, False))
         await frames.drain()
         start += size
 
 
-def compute_proof(key: bytes, nonce: bytes, other: bytes) -> bytes:
-    """Proof of the key for a pair of nonces, ours and the other side's."""
-    return hmac.digest(key, b"forklift" + nonce + other, "sha256")
+def compute_proof(key: bytes, nonce: bytes, peer_nonce: bytes) -> bytes:
+    """Returns the proof that one side of a connection knows the key.
+
+    Args:
+        key: Shared key.
+        nonce: Nonce of the side that proves it.
+        peer_nonce: Nonce of the other side.
+    """
+    return hmac.digest(key, b"forklift" + nonce + peer_nonce, "sha256")
 
 
 def new_nonce() -> bytes:
-    """Random bytes for one connection."""
+    """Returns the random nonce of one side of a connection."""
     return secrets.token_bytes(NONCE_BYTES)
--- a/forklift/shell/peer_client.py
+++ b/forklift/shell/peer_client.py
@@ -1,8 +1,9 @@
-"""The side of a connection between processes that asks.
+"""Client side of the connections between processes.
 
-Many requests share one connection; a stream's number is never used again on
-it. While an answer is owed, beats ask for a sign of life, which shows a
-one-way cut long before a deadline does.
+Requests are multiplexed over one connection; stream ids are never reused.
+While a response is pending, keep-alive frames detect an unresponsive peer,
+or a connection that carries data one way only, long before the deadline of
+the request.
 """
 
 import asyncio
@@ -18,12 +19,14 @@
 from forklift.shell import framing
 from forklift.shell import tcp_stream
 
+# Seconds for connection setup and the handshake.
 HELLO_TIMEOUT = 2.0
+# Seconds to wait for the reply to a fence request.
 FENCE_TIMEOUT = 0.5
 
 
 class AuthenticationFailed(errors.ForkliftError):
-    """The other side did not show that it knows the shared key."""
+    """The peer did not prove that it knows the shared key."""
 
     def __init__(self, peer: str):
         super().__init__(
@@ -32,29 +35,46 @@
         )
 
 
-class _Asked:
-    """A request that this side sent and that is not over."""
+class _PendingRequest:
+    """A request sent to the peer that is still in progress."""
 
     def __init__(self, idempotent: bool):
         self.idempotent = idempotent
         self.head: asyncio.Future = asyncio.get_running_loop().create_future()
-        self.pieces: exchange.BodyStream | None = None
+        self.response_body: exchange.BodyStream | None = None
         self.window = framing.SendWindow(0)
         self.failure: messages.Failure | None = None
 
 
 class ClientConnection:
-    """One connection to a peer; both sides may ask over their own."""
+    """A multiplexed connection to a peer over which requests are sent.
+
+    The peer opens a connection of its own for requests in the other direction.
+
+    Attributes:
+        peer: Hello frame of the peer; None until it arrives.
+        authenticated: Whether the peer has proved that it knows the key.
+        ready: Future that completes once the handshake is done.
+        on_reply: Called for each frame after the handshake.
+        on_lost: Called when the connection closes.
+        on_load_update: Called with load updates of the peer's targets.
+        unresponsive: Set while the peer does not reply in time.
+        incarnation: Latest known incarnation of the peer.
+        pending_count: Number of requests in progress.
+    """
 
     def __init__(
-        self, frames: framing.FrameConnection, own: messages.Hello, key: bytes
+        self,
+        frames: framing.FrameConnection,
+        own_hello: messages.Hello,
+        key: bytes,
     ):
         self._frames = frames
-        self._own = own
+        self._own_hello = own_hello
         self._key = key
-        self._ids = itertools.count(1)
-        self._asked_by_id: dict[int, _Asked] = {}
-        self._fence_by_id: dict[int, asyncio.Future] = {}
+        self._stream_ids = itertools.count(1)
+        self._pending_by_id: dict[int, _PendingRequest] = {}
+        self._fence_reply_by_id: dict[int, asyncio.Future] = {}
         self._keepalive_number = 0
         self.peer: messages.Hello | None = None
         self.authenticated = False
@@ -62,23 +82,22 @@
         self.on_reply: Callable[[], None] = lambda: None
         self.on_lost: Callable[[], None] = lambda: None
         self.on_load_update: Callable[[messages.LoadUpdate], None] = (
-            lambda standing: None
+            lambda load_update: None
         )
-        # Set while the path is condemned.
         self.unresponsive = asyncio.Event()
         self.incarnation = 0
         self.pending_count = 0
-        frames.on_frame = self._frame
-        frames.on_lost = self._lost
+        frames.on_frame = self._handle_frame
+        frames.on_lost = self._handle_lost
 
     @property
     def lost(self) -> bool:
-        """Whether the connection is gone."""
+        """Whether the connection is closed."""
         return self._frames.lost
 
     def send_hello(self) -> None:
-        """Says hello."""
-        self._frames.send(self._own)
+        """Sends the hello frame, which starts the handshake."""
+        self._frames.send(self._own_hello)
 
     async def send_request(
         self,
@@ -86,126 +105,137 @@
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
-        """Sends a request and passes its answer on.
+        """Sends a request and relays the response to the sink.
+
+        Args:
+            start: First frame of the request.
+            request: The request; its body is sent if `start` is incomplete.
+            sink: Receives the response.
 
         Raises:
-            errors.PeerUnreachable: Nothing was sent.
-            tcp_stream.ConnectionLost: The sink is gone.
-            asyncio.CancelledError: The caller gave up.
+            errors.PeerUnreachable: The connection was closed before anything
+                was sent.
+            tcp_stream.ConnectionLost: The sink is closed.
+            asyncio.CancelledError: The request was cancelled.
         """
         if self.lost:
-            # Its first frame goes nowhere, so it has not run.
+            # Nothing was sent, so the request has not run.
             raise errors.PeerUnreachable(self.peer.name, "lost")
-        asked = _Asked(start.idempotent)
-        self._asked_by_id[start.id] = asked
+        pending = _PendingRequest(start.idempotent)
+        self._pending_by_id[start.id] = pending
         self.pending_count += 1
         upload = None
-        over = False
+        finished = False
         try:
             self._frames.send(start)
             if not start.complete:
                 upload = asyncio.create_task(
-                    self._upload(start.id, asked, request)
+                    self._send_body(start.id, pending, request)
                 )
-            result = await self._answer(start, asked, sink)
-            over = True
+            result = await self._receive_response(start, pending, sink)
+            finished = True
             return result
         finally:
             self.pending_count -= 1
-            del self._asked_by_id[start.id]
-            asked.window.fail()
+            del self._pending_by_id[start.id]
+            pending.window.fail()
             if upload is not None:
                 upload.cancel()
-            if not over and not self.lost:
+            if not finished and not self.lost:
                 self._frames.send(messages.Cancel(start.id))
 
     def next_stream_id(self) -> int:
-        """A stream number never used before on this connection."""
-        return next(self._ids)
+        """Returns a stream id not yet used on this connection."""
+        return next(self._stream_ids)
 
     async def fence(
-        self, boot: int, seq: int, to_boot: int, to: str = ""
+        self, boot: int, seq: int, to_boot: int, forward_to: str = ""
     ) -> bool:
-        """Asks that a request never starts; True when that is certain.
+        """Asks that a request must never start.
 
         Args:
-            boot: Boot of the sender of the request.
-            seq: Its number there.
-            to_boot: Boot of the guard that the request was sent to.
-            to: Process of that guard where it is not this peer.
+            boot: Boot id of the process that sent the request.
+            seq: Sequence number of the request in that process.
+            to_boot: Boot id of the process that the request was sent to.
+            forward_to: Name of that process if it is not this peer.
+
+        Returns:
+            Whether the request has not run and never will. False if it may
+            have run, or if no reply arrived in time.
         """
         stream = self.next_stream_id()
         future = asyncio.get_running_loop().create_future()
-        self._fence_by_id[stream] = future
+        self._fence_reply_by_id[stream] = future
         try:
             self._frames.send(
-                messages.FenceRequest(stream, boot, seq, to_boot, to)
+                messages.FenceRequest(stream, boot, seq, to_boot, forward_to)
             )
             async with asyncio.timeout(FENCE_TIMEOUT):
                 return await future
         except (TimeoutError, framing.PeerConnectionLost):
             return False
         finally:
-            del self._fence_by_id[stream]
+            del self._fence_reply_by_id[stream]
 
     def send_keepalive(self) -> None:
-        """Asks for a sign of life."""
+        """Sends a keep-alive frame, to which the peer replies."""
         self._keepalive_number += 1
         self._frames.send(messages.KeepAlive(self._keepalive_number, False))
 
     def fail_idempotent(self) -> None:
-        """The path is condemned: what may run twice goes elsewhere.
+        """Fails idempotent requests as the peer is unresponsive.
 
-        What may not is left where it is; its answer can still come.
+        They can be retried elsewhere. Other requests stay pending, as their
+        responses may still arrive.
         """
         self.unresponsive.set()
-        for asked in self._asked_by_id.values():
-            if asked.idempotent:
-                self._break(asked)
-        if not self._asked_by_id:
+        for pending in self._pending_by_id.values():
+            if pending.idempotent:
+                self._fail_request(pending)
+        if not self._pending_by_id:
             self.close()
 
     def close(self) -> None:
         """Closes the connection."""
         self._frames.transport.abort()
 
-    async def _answer(
+    async def _receive_response(
         self,
         start: messages.RequestStart,
-        asked: _Asked,
+        pending: _PendingRequest,
         sink: exchange.Sink,
     ) -> exchange.Result:
-        head = await asked.head
+        head = await pending.head
         if isinstance(head, messages.Failure):
-            return _failed(head)
+            return _failure_result(head)
         if head is None:
             return exchange.unknown(messages.Reason.PEER_LOST)
         if head.request_id != start.request_id:
             self.close()
             return exchange.unknown(messages.Reason.WRONG_ANSWER)
-        passed = exchange.Head(
+        response_head = exchange.Head(
             head.status, head.headers, head.length, head.target, head.load
         )
-        await sink.start(passed)
+        await sink.start(response_head)
         try:
-            async for piece in asked.pieces:
-                await sink.data(piece)
+            async for chunk in pending.response_body:
+                await sink.data(chunk)
         except exchange.IncompleteBody:
-            if asked.failure is not None:
-                return _failed(asked.failure)
+            if pending.failure is not None:
+                return _failure_result(pending.failure)
             return exchange.unknown(messages.Reason.PEER_LOST)
         await sink.end()
         return exchange.answered(head.status, head.target, head.load)
 
-    async def _upload(
-        self, stream: int, asked: _Asked, request: exchange.Request
+    async def _send_body(
+        self, stream: int, pending: _PendingRequest, request: exchange.Request
     ) -> None:
         try:
-            # Nothing is taken of the body before the guard asks for it.
-            await asked.window.acquire(0)
-            async for piece in request.body.chunks():
+            # Reads none of the body until the peer grants credit.
+            await pending.window.acquire(0)
+            async for chunk in request.body.chunks():
                 await framing.send_chunks(
-                    self._frames, asked.window, stream, piece
+                    self._frames, pending.window, stream, chunk
                 )
             self._frames.send(messages.BodyChunk(stream, b"", True))
         except (
@@ -218,51 +248,53 @@
             if not self.lost:
                 self._frames.send(messages.Cancel(stream))
 
-    def _frame(self, frame: messages.Frame) -> None:
+    def _handle_frame(self, frame: messages.Frame) -> None:
         if isinstance(frame, messages.Hello):
-            self._hello(frame)
+            self._handle_hello(frame)
             return
         if isinstance(frame, messages.Proof):
-            self._proof(frame)
+            self._handle_proof(frame)
             return
         if not self.authenticated:
             raise messages.MalformedMessage(
-                "a frame before the proof of the key"
+                "frame received before the peer was authenticated"
             )
         self.unresponsive.clear()
         self.on_reply()
         if isinstance(frame, messages.ResponseStart):
-            self._head(frame)
+            self._handle_response_start(frame)
         elif isinstance(frame, messages.BodyChunk):
-            asked = self._asked_by_id.get(frame.id)
-            if asked is not None and asked.pieces is not None:
-                asked.pieces.feed(frame.data, frame.is_last)
+            pending = self._pending_by_id.get(frame.id)
+            if pending is not None and pending.response_body is not None:
+                pending.response_body.feed(frame.data, frame.is_last)
         elif isinstance(frame, messages.Credit):
-            asked = self._asked_by_id.get(frame.id)
-            if asked is not None:
-                asked.window.add_credit(frame.size)
+            pending = self._pending_by_id.get(frame.id)
+            if pending is not None:
+                pending.window.add_credit(frame.size)
         elif isinstance(frame, messages.Failure):
-            self._failure(frame)
+            self._handle_failure(frame)
         elif isinstance(frame, messages.LoadUpdate):
             self.on_load_update(frame)
         elif isinstance(frame, messages.FenceReply):
-            future = self._fence_by_id.get(frame.id)
+            future = self._fence_reply_by_id.get(frame.id)
             if future is not None and not future.done():
                 future.set_result(frame.not_run)
 
-    def _hello(self, hello: messages.Hello) -> None:
+    def _handle_hello(self, hello: messages.Hello) -> None:
         self.peer = hello
         self.incarnation = hello.incarnation
-        # One that does not know of compression does not say that it will.
-        self._frames.compress = self._own.compress and hello.compress
-        digest = framing.compute_proof(self._key, self._own.nonce, hello.nonce)
+        # Versions without support for compression leave the field unset.
+        self._frames.compress = self._own_hello.compress and hello.compress
+        digest = framing.compute_proof(
+            self._key, self._own_hello.nonce, hello.nonce
+        )
         self._frames.send(messages.Proof(digest))
 
-    def _proof(self, proof: messages.Proof) -> None:
-        wanted = framing.compute_proof(
-            self._key, self.peer.nonce, self._own.nonce
+    def _handle_proof(self, proof: messages.Proof) -> None:
+        expected = framing.compute_proof(
+            self._key, self.peer.nonce, self._own_hello.nonce
         )
-        if not hmac.compare_digest(wanted, proof.digest):
+        if not hmac.compare_digest(expected, proof.digest):
             if not self.ready.done():
                 self.ready.set_exception(
                     AuthenticationFailed(self._frames.peer)
@@ -273,48 +305,50 @@
         if not self.ready.done():
             self.ready.set_result(None)
 
-    def _head(self, head: messages.ResponseStart) -> None:
-        asked = self._asked_by_id.get(head.id)
-        if asked is None or asked.head.done():
+    def _handle_response_start(self, head: messages.ResponseStart) -> None:
+        pending = self._pending_by_id.get(head.id)
+        if pending is None or pending.head.done():
             return
-        asked.pieces = exchange.BodyStream(
-            lambda size: self._credit(head.id, size)
+        pending.response_body = exchange.BodyStream(
+            lambda size: self._send_credit(head.id, size)
         )
-        asked.head.set_result(head)
+        pending.head.set_result(head)
 
-    def _failure(self, failure: messages.Failure) -> None:
+    def _handle_failure(self, failure: messages.Failure) -> None:
         self.incarnation = max(self.incarnation, failure.incarnation)
-        asked = self._asked_by_id.get(failure.id)
-        if asked is None:
+        pending = self._pending_by_id.get(failure.id)
+        if pending is None:
             return
-        asked.failure = failure
-        if not asked.head.done():
-            asked.head.set_result(failure)
-        elif asked.pieces is not None:
-            asked.pieces.fail("the answer broke off")
+        pending.failure = failure
+        if not pending.head.done():
+            pending.head.set_result(failure)
+        elif pending.response_body is not None:
+            pending.response_body.fail("the response ended early")
 
-    def _credit(self, stream: int, size: int) -> None:
+    def _send_credit(self, stream: int, size: int) -> None:
         if not self.lost:
             self._frames.send(messages.Credit(stream, size))
 
-    def _lost(self) -> None:
-        for asked in self._asked_by_id.values():
-            self._break(asked)
+    def _handle_lost(self) -> None:
+        for pending in self._pending_by_id.values():
+            self._fail_request(pending)
         if not self.ready.done():
-            self.ready.set_exception(framing.PeerConnectionLost("peer closed"))
-        # Nobody may be waiting for it.
+            self.ready.set_exception(
+                framing.PeerConnectionLost("peer closed the connection")
+            )
+        # Marks the exception as retrieved if nothing awaits the future.
         self.ready.exception()
         self.on_lost()
 
-    def _break(self, asked: _Asked) -> None:
-        asked.window.fail()
-        if not asked.head.done():
-            asked.head.set_result(None)
-        elif asked.pieces is not None:
-            asked.pieces.fail("peer lost")
+    def _fail_request(self, pending: _PendingRequest) -> None:
+        pending.window.fail()
+        if not pending.head.done():
+            pending.head.set_result(None)
+        elif pending.response_body is not None:
+            pending.response_body.fail("connection to the peer lost")
 
 
-def _failed(failure: messages.Failure) -> exchange.Result:
+def _failure_result(failure: messages.Failure) -> exchange.Result:
     if failure.outcome is messages.Outcome.NOT_RUN:
         return exchange.not_run(
             failure.reason, failure.retry_after, failure.load
@@ -323,13 +357,19 @@
 
 
 async def connect(
-    address: str, own: messages.Hello, key: bytes
+    address: str, own_hello: messages.Hello, key: bytes
 ) -> ClientConnection:
-    """Connects to a peer and proves the shared key.
+    """Connects to a peer and completes the handshake.
+
+    Args:
+        address: Peer address, "ip:port".
+        own_hello: Hello frame of this process.
+        key: Shared key.
 
     Raises:
-        OSError: Unreachable.
-        Refused: The peer does not know the key.
+        OSError: The peer is unreachable.
+        TimeoutError: The handshake took longer than HELLO_TIMEOUT.
+        AuthenticationFailed: The peer does not know the key.
     """
     host, port = tcp_stream.split_address(address)
     loop = asyncio.get_running_loop()
@@ -338,7 +378,7 @@
             framing.FrameConnection, host, port
         )
         tcp_stream.set_user_timeout(frames.transport)
-        link = ClientConnection(frames, own, key)
-        link.send_hello()
-        await link.ready
-    return link
+        connection = ClientConnection(frames, own_hello, key)
+        connection.send_hello()
+        await connection.ready
+    return connection
--- a/forklift/shell/peer_connections.py
+++ b/forklift/shell/peer_connections.py
@@ -1,4 +1,4 @@
-"""The open connections to peers, by the name of the process."""
+"""Connections to peers, by process name."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,27 +15,31 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds that a request waits for a connection to be opened: within one
-# region that takes a few milliseconds, and another target may be asked.
+# Seconds that a request waits for a new connection, which takes milliseconds
+# within a region; after that, another target is tried.
 OPEN_WAIT = 0.25
 
 
 class PeerConnections:
-    """Opens connections on demand and shares them among requests."""
+    """Opens connections on demand and shares them between requests.
+
+    Attributes:
+        connection_by_process: Established connections by process name.
+    """
 
     def __init__(
         self,
         directory: membership.Directory,
-        known: reachability.Reachability,
-        hello: Callable[[], messages.Hello],
+        peer_reachability: reachability.Reachability,
+        make_hello: Callable[[], messages.Hello],
         key: bytes,
         clock,
         on_load_update: Callable[[messages.LoadUpdate], None] | None = None,
     ):
         self._on_load_update = on_load_update
         self._directory = directory
-        self._reachability = known
-        self._hello = hello
+        self._reachability = peer_reachability
+        self._make_hello = make_hello
         self._key = key
         self._clock = clock
         self.connection_by_process: dict[str, peer_client.ClientConnection] = {}
@@ -43,76 +47,80 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def get(self, process: str) -> peer_client.ClientConnection:
-        """The connection to a process, opened where there is none.
+        """Returns the connection to a process; opens one if necessary.
 
         Raises:
-            errors.PeerUnreachable: Nothing was sent.
+            errors.PeerUnreachable: No connection could be opened in time.
         """
-        link = self.connection_by_process.get(process)
-        if link is not None and not link.lost:
-            return link
-        opening = self._begin(process)
+        connection = self.connection_by_process.get(process)
+        if connection is not None and not connection.lost:
+            return connection
+        opening = self._start_opening(process)
         try:
             async with asyncio.timeout(OPEN_WAIT):
                 return await asyncio.shield(opening)
         except TimeoutError as error:
             now = self._clock.monotonic()
-            self._fail(process, "slow to open", now)
+            self._mark_unreachable(process, "slow to open", now)
             raise errors.PeerUnreachable(process, "slow to open") from error
 
-    def _begin(self, process: str) -> asyncio.Task:
-        """Opens a connection, unless that is under way."""
+    def _start_opening(self, process: str) -> asyncio.Task:
+        """Starts to open a connection unless one is being opened."""
         opening = self._opening_by_process.get(process)
         if opening is None:
             opening = asyncio.create_task(self._open(process))
             self._opening_by_process[process] = opening
-            opening.add_done_callback(lambda done: self._opened(process, done))
+            opening.add_done_callback(
+                lambda done: self._handle_opened(process, done)
+            )
         return opening
 
-    def _opened(self, process: str, opening: asyncio.Task) -> None:
+    def _handle_opened(self, process: str, opening: asyncio.Task) -> None:
         self._opening_by_process.pop(process, None)
         if not opening.cancelled() and opening.exception() is not None:
-            _log.debug("link_failed", detail=str(opening.exception()))
+            _log.debug(
+                "peer_connection_failed", detail=str(opening.exception())
+            )
 
     def tick(self) -> None:
-        """Judges paths by the signs of life that peers owe."""
+        """Detects unresponsive peers and sends the keep-alives that are due."""
         now = self._clock.monotonic()
-        for process, link in list(self.connection_by_process.items()):
-            if link.lost:
+        for process, connection in list(self.connection_by_process.items()):
+            if connection.lost:
                 del self.connection_by_process[process]
-            elif link.pending_count:
+            elif connection.pending_count:
                 self._reachability.expect_reply(process, now)
             else:
                 self._reachability.cancel_expected_reply(process)
         for process in self._reachability.take_timed_out(now):
             _log.warning("peer_lost", process=process, cause="silent")
-            link = self.connection_by_process.get(process)
-            if link is not None:
-                link.fail_idempotent()
+            connection = self.connection_by_process.get(process)
+            if connection is not None:
+                connection.fail_idempotent()
         for process in self._reachability.take_due_heartbeats(now):
-            task = asyncio.create_task(self._ask_for_sign(process))
+            task = asyncio.create_task(self._send_keepalive(process))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def connected_except(self, process: str) -> list[str]:
-        """Processes that are connected, other than one, and not silent."""
+        """Returns connected, responsive processes other than the given one."""
         return [
             name
-            for name, link in self.connection_by_process.items()
+            for name, connection in self.connection_by_process.items()
             if name != process
-            and not link.lost
-            and not link.unresponsive.is_set()
+            and not connection.lost
+            and not connection.unresponsive.is_set()
         ]
 
     def close(self) -> None:
         """Closes all connections."""
-        for link in self.connection_by_process.values():
-            link.close()
+        for connection in self.connection_by_process.values():
+            connection.close()
 
-    async def _ask_for_sign(self, process: str) -> None:
+    async def _send_keepalive(self, process: str) -> None:
         try:
-            link = await self.get(process)
-            link.send_keepalive()
+            connection = await self.get(process)
+            connection.send_keepalive()
         except (errors.PeerUnreachable, framing.PeerConnectionLost):
             return
 
@@ -120,46 +128,52 @@
         now = self._clock.monotonic
         member = self._directory.member_by_name.get(process)
         if member is None:
-            self._fail(process, "unknown", now())
-            raise errors.PeerUnreachable(process, "not in the directory")
-        # Bytes within a failure domain are cheaper than the time to pack them.
-        far = member.info.domain != self._directory.own.domain
-        hello = msgspec.structs.replace(self._hello(), compress=far)
+            self._mark_unreachable(process, "unknown", now())
+            raise errors.PeerUnreachable(process, "not a known member")
+        # Within a failure domain, traffic costs less than compression.
+        cross_domain = member.info.domain != self._directory.own.domain
+        hello = msgspec.structs.replace(
+            self._make_hello(), compress=cross_domain
+        )
         try:
-            link = await peer_client.connect(member.info.peer, hello, self._key)
+            connection = await peer_client.connect(
+                member.info.peer, hello, self._key
+            )
         except (
             OSError,
             TimeoutError,
             peer_client.AuthenticationFailed,
         ) as error:
-            self._fail(process, "unreachable", now())
+            self._mark_unreachable(process, "unreachable", now())
             detail = str(error) or type(error).__name__
             raise errors.PeerUnreachable(process, detail) from error
-        if link.peer.name != process:
-            link.close()
-            self._fail(process, "another answers", now())
+        if connection.peer.name != process:
+            connection.close()
+            self._mark_unreachable(process, "another answers", now())
             raise errors.PeerUnreachable(process, "another process answers")
-        link.on_reply = lambda: self._hear(process)
+        connection.on_reply = lambda: self._mark_reachable(process)
         if self._on_load_update is not None:
-            link.on_load_update = self._on_load_update
-        link.on_lost = lambda: self._lost(process, link)
-        # It has just shown that both ways are open.
-        self._hear(process)
-        self.connection_by_process[process] = link
-        return link
-
-    def _fail(self, process: str, cause: str, now: float) -> None:
+            connection.on_load_update = self._on_load_update
+        connection.on_lost = lambda: self._handle_lost(process, connection)
+        # The handshake shows that data passes in both directions.
+        self._mark_reachable(process)
+        self.connection_by_process[process] = connection
+        return connection
+
+    def _mark_unreachable(self, process: str, cause: str, now: float) -> None:
         if self._reachability.is_reachable(process):
             _log.warning("peer_lost", process=process, cause=cause)
         self._reachability.mark_unreachable(process, cause, now)
 
-    def _hear(self, process: str) -> None:
+    def _mark_reachable(self, process: str) -> None:
         if self._reachability.record_reply(process):
             _log.info("peer_back", process=process)
 
-    def _lost(self, process: str, link: peer_client.ClientConnection) -> None:
-        """A connection broke: the path is avoided until a new one opens."""
-        if self.connection_by_process.get(process) is not link:
+    def _handle_lost(
+        self, process: str, connection: peer_client.ClientConnection
+    ) -> None:
+        """Marks the peer as unreachable until a new connection opens."""
+        if self.connection_by_process.get(process) is not connection:
             return
         del self.connection_by_process[process]
-        self._fail(process, "lost", self._clock.monotonic())
+        self._mark_unreachable(process, "lost", self._clock.monotonic())
--- a/forklift/shell/peer_server.py
+++ b/forklift/shell/peer_server.py
@@ -1,4 +1,4 @@
-"""The side of a connection between processes that answers."""
+"""Server side of the connections between processes."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class ResponseSink:
-    """The sink of an answer that goes back to the peer that asked."""
+    """Sends a response to the peer, as an `exchange.Sink`."""
 
     def __init__(
         self, frames: framing.FrameConnection, stream: int, request_id: str
@@ -44,25 +44,28 @@
             head.target,
             head.load,
         )
-        with _as_sink():
+        with _translate_connection_lost():
             self._frames.send(start)
 
-    async def data(self, piece: bytes) -> None:
+    async def data(self, chunk: bytes) -> None:
         """See `exchange.Sink`."""
-        with _as_sink():
+        with _translate_connection_lost():
             await framing.send_chunks(
-                self._frames, self.window, self._stream, piece
+                self._frames, self.window, self._stream, chunk
             )
 
     async def end(self) -> None:
         """See `exchange.Sink`."""
-        with _as_sink():
+        with _translate_connection_lost():
             self._frames.send(messages.BodyChunk(self._stream, b"", True))
 
 
 @contextlib.contextmanager
-def _as_sink() -> Iterator[None]:
-    """To the side that answers, the peer that asked is the caller."""
+def _translate_connection_lost() -> Iterator[None]:
+    """Raises `tcp_stream.ConnectionLost` if the peer connection is lost.
+
+    The handler of a request treats the peer like any other caller.
+    """
     try:
         yield
     except framing.PeerConnectionLost as error:
@@ -70,76 +73,84 @@
 
 
 class ServerConnection:
-    """One connection of a peer that asks us."""
+    """A connection on which a peer sends requests to this process.
+
+    Attributes:
+        last_request_at: Loop time of the last request, seconds.
+        peer: Hello frame of the peer; None until it arrives.
+        authenticated: Whether the peer has proved that it knows the key.
+    """
 
     def __init__(
         self,
         frames: framing.FrameConnection,
-        own: Callable[[], messages.Hello],
+        make_hello: Callable[[], messages.Hello],
         key: bytes,
         handler: Handler,
         fence: Callable[[messages.FenceRequest], bool],
-        on_refused: Callable[[], None],
-        relay: Callable[[messages.FenceRequest], Awaitable[bool]] | None = None,
+        on_rejected: Callable[[], None],
+        forward_fence: Callable[[messages.FenceRequest], Awaitable[bool]]
+        | None = None,
     ):
-        self._relay = relay
+        self._forward_fence = forward_fence
         self._frames = frames
-        self._own = own()
-        self._current = own
+        self._own_hello = make_hello()
+        self._make_hello = make_hello
         self._key = key
         self._handler = handler
         self._fence = fence
-        self._on_refused = on_refused
+        self._on_rejected = on_rejected
         self._task_by_id: dict[int, asyncio.Task] = {}
-        self._answerer_by_id: dict[int, ResponseSink] = {}
-        self._pieces_by_id: dict[int, exchange.BodyStream] = {}
-        self._relays: set[asyncio.Task] = set()
+        self._sink_by_id: dict[int, ResponseSink] = {}
+        self._body_by_id: dict[int, exchange.BodyStream] = {}
+        self._fence_tasks: set[asyncio.Task] = set()
         self.last_request_at = float("-inf")
         self.peer: messages.Hello | None = None
         self.authenticated = False
-        frames.on_frame = self._frame
-        frames.on_lost = self._lost
+        frames.on_frame = self._handle_frame
+        frames.on_lost = self._handle_lost
 
     @property
     def busy(self) -> bool:
-        """Whether a request of the peer is in flight."""
+        """Whether a request of the peer is in progress."""
         return bool(self._task_by_id)
 
     @property
     def unsent(self) -> int:
-        """Bytes for the peer that the system has not taken."""
+        """Bytes for the peer that are not yet in the kernel send buffer."""
         return self._frames.unsent
 
     def send_keepalive(self) -> None:
-        """Gives a sign of life to a peer that is owed an answer.
+        """Sends an unsolicited keep-alive if a request is in progress.
 
-        Unasked: to be asked would wake both sides once more for each sign.
+        Replying to keep-alives of the peer instead would wake both processes
+        twice as often.
         """
         if self.busy and self.authenticated and not self._frames.lost:
             self._frames.send(messages.KeepAlive(0, True))
 
     def half_close(self) -> None:
-        """Ends what is sent; the peer closes once it has taken all.
+        """Closes the sending side; the peer closes once it has read all data.
 
-        A connection that is closed answers the peer's next beat with a reset,
-        and what the system holds for the peer is lost.
+        After a full close, the next keep-alive of the peer would cause a
+        reset, which discards data in the kernel send buffer.
         """
         if not self._frames.lost:
             self._frames.transport.write_eof()
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Closes the connection and discards unsent data."""
         self._frames.transport.abort()
 
     def send_load_update(
-        self, standing: messages.LoadUpdate, since: float
+        self, load_update: messages.LoadUpdate, since: float
     ) -> None:
-        """Tells the peer unasked how a target stands.
+        """Sends the peer an unsolicited load update of a target.
 
         Args:
-            standing: The news.
-            since: Only a peer that asked for something since then is told;
-                loop seconds.
+            load_update: The update.
+            since: Loop time in seconds; the update is sent only if the peer
+                has sent a request since then.
         """
         if (
             self.last_request_at < since
@@ -147,36 +158,38 @@
             or self._frames.lost
         ):
             return
-        self._frames.send(standing)
+        self._frames.send(load_update)
 
-    def _frame(self, frame: messages.Frame) -> None:
+    def _handle_frame(self, frame: messages.Frame) -> None:
         if isinstance(frame, messages.Hello):
             self.peer = frame
             self._frames.send(
-                msgspec.structs.replace(self._own, compress=frame.compress)
+                msgspec.structs.replace(
+                    self._own_hello, compress=frame.compress
+                )
             )
             self._frames.compress = frame.compress
             digest = framing.compute_proof(
-                self._key, self._own.nonce, frame.nonce
+                self._key, self._own_hello.nonce, frame.nonce
             )
             self._frames.send(messages.Proof(digest))
         elif isinstance(frame, messages.Proof):
-            self._proof(frame)
+            self._handle_proof(frame)
         elif not self.authenticated:
-            self._on_refused()
+            self._on_rejected()
             raise messages.MalformedMessage(
-                "a frame before the proof of the key"
+                "frame received before the peer was authenticated"
             )
         elif isinstance(frame, messages.RequestStart):
-            self._start(frame)
+            self._handle_request(frame)
         elif isinstance(frame, messages.BodyChunk):
-            pieces = self._pieces_by_id.get(frame.id)
-            if pieces is not None:
-                pieces.feed(frame.data, frame.is_last)
+            body_stream = self._body_by_id.get(frame.id)
+            if body_stream is not None:
+                body_stream.feed(frame.data, frame.is_last)
         elif isinstance(frame, messages.Credit):
-            answerer = self._answerer_by_id.get(frame.id)
-            if answerer is not None:
-                answerer.window.add_credit(frame.size)
+            sink = self._sink_by_id.get(frame.id)
+            if sink is not None:
+                sink.window.add_credit(frame.size)
         elif isinstance(frame, messages.Cancel):
             task = self._task_by_id.get(frame.id)
             if task is not None:
@@ -184,78 +197,84 @@
         elif isinstance(frame, messages.KeepAlive) and not frame.is_reply:
             self._frames.send(messages.KeepAlive(frame.number, True))
         elif isinstance(frame, messages.FenceRequest):
-            self._answer_fence(frame)
+            self._handle_fence(frame)
 
-    def _answer_fence(self, fence: messages.FenceRequest) -> None:
+    def _handle_fence(self, fence: messages.FenceRequest) -> None:
         if not fence.forward_to:
             not_run = self._fence(fence)
             self._frames.send(messages.FenceReply(fence.id, not_run))
-        elif self._relay is not None:
+        elif self._forward_fence is not None:
             task = asyncio.get_running_loop().create_task(
-                self._relay_fence(fence)
+                self._reply_forwarded_fence(fence)
             )
-            self._relays.add(task)
-            task.add_done_callback(self._relays.discard)
+            self._fence_tasks.add(task)
+            task.add_done_callback(self._fence_tasks.discard)
 
-    async def _relay_fence(self, fence: messages.FenceRequest) -> None:
-        not_run = await self._relay(fence)
+    async def _reply_forwarded_fence(
+        self, fence: messages.FenceRequest
+    ) -> None:
+        not_run = await self._forward_fence(fence)
         if not self._frames.lost:
             self._frames.send(messages.FenceReply(fence.id, not_run))
 
-    def _proof(self, proof: messages.Proof) -> None:
+    def _handle_proof(self, proof: messages.Proof) -> None:
         if self.peer is None:
-            raise messages.MalformedMessage("a proof before the hello")
-        wanted = framing.compute_proof(
-            self._key, self.peer.nonce, self._own.nonce
+            raise messages.MalformedMessage(
+                "proof received before the hello frame"
+            )
+        expected = framing.compute_proof(
+            self._key, self.peer.nonce, self._own_hello.nonce
         )
-        if not hmac.compare_digest(wanted, proof.digest):
-            self._on_refused()
-            raise messages.MalformedMessage("the shared key differs")
+        if not hmac.compare_digest(expected, proof.digest):
+            self._on_rejected()
+            raise messages.MalformedMessage("the peer has another shared key")
         self.authenticated = True
 
-    def _start(self, start: messages.RequestStart) -> None:
+    def _handle_request(self, start: messages.RequestStart) -> None:
         if start.id in self._task_by_id:
-            raise messages.MalformedMessage("a stream number was used again")
+            raise messages.MalformedMessage("stream id reused")
         self.last_request_at = asyncio.get_running_loop().time()
         body = exchange.Body(start.body)
         if not start.complete:
-            body = exchange.Body(b"", self._rest(start))
-        answerer = ResponseSink(self._frames, start.id, start.request_id)
-        self._answerer_by_id[start.id] = answerer
+            body = exchange.Body(b"", self._receive_body(start))
+        sink = ResponseSink(self._frames, start.id, start.request_id)
+        self._sink_by_id[start.id] = sink
         task = asyncio.get_running_loop().create_task(
-            self._serve(start, body, answerer)
+            self._serve(start, body, sink)
         )
         self._task_by_id[start.id] = task
 
-    async def _rest(self, start: messages.RequestStart):
-        pieces = exchange.BodyStream(lambda size: self._credit(start.id, size))
-        self._pieces_by_id[start.id] = pieces
-        self._credit(start.id, framing.FLOW_CONTROL_WINDOW)
-        async for piece in pieces:
-            yield piece
+    async def _receive_body(self, start: messages.RequestStart):
+        body_stream = exchange.BodyStream(
+            lambda size: self._send_credit(start.id, size)
+        )
+        self._body_by_id[start.id] = body_stream
+        self._send_credit(start.id, framing.FLOW_CONTROL_WINDOW)
+        async for chunk in body_stream:
+            yield chunk
 
     async def _serve(
         self,
         start: messages.RequestStart,
         body: exchange.Body,
-        answerer: ResponseSink,
+        sink: ResponseSink,
     ) -> None:
         try:
-            result = await self._handler(self, start, body, answerer)
+            result = await self._handler(self, start, body, sink)
             if result.ending.outcome is not messages.Outcome.ANSWERED:
-                self._fail(start, result)
+                self._send_failure(start, result)
         except asyncio.CancelledError:
             result = exchange.unknown(messages.Reason.CANCELLED)
-            self._fail(start, result)
+            self._send_failure(start, result)
         except tcp_stream.ConnectionLost:
             pass
         finally:
-            answerer.window.fail()
+            sink.window.fail()
             self._task_by_id.pop(start.id, None)
-            self._answerer_by_id.pop(start.id, None)
-            self._pieces_by_id.pop(start.id, None)
+            self._sink_by_id.pop(start.id, None)
+            self._body_by_id.pop(start.id, None)
 
-    def _fail(
+    def _send_failure(
         self, start: messages.RequestStart, result: exchange.Result
     ) -> None:
         if self._frames.lost:
@@ -266,18 +285,18 @@
             ending.outcome,
             ending.reason or messages.Reason.TARGET_BROKE,
             ending.retry_after,
-            self._current().incarnation,
+            self._make_hello().incarnation,
             start.target,
             result.load,
         )
         self._frames.send(failure)
 
-    def _credit(self, stream: int, size: int) -> None:
+    def _send_credit(self, stream: int, size: int) -> None:
         if not self._frames.lost:
             self._frames.send(messages.Credit(stream, size))
 
-    def _lost(self) -> None:
-        for pieces in self._pieces_by_id.values():
-            pieces.fail("peer lost")
+    def _handle_lost(self) -> None:
+        for body_stream in self._body_by_id.values():
+            body_stream.fail("connection to the peer lost")
         for task in list(self._task_by_id.values()):
             task.cancel()
--- a/forklift/shell/push_sockets.py
+++ b/forklift/shell/push_sockets.py
@@ -1,6 +1,6 @@
-"""Large messages to and from other processes, over nng push and pull sockets.
+"""Large control messages between processes, over nng push and pull sockets.
 
-Each is one way and may be lost, as a connection may break or fall silent.
+Messages are one-way and are lost if a connection breaks or is unresponsive.
 """
 
 import asyncio
@@ -15,14 +15,16 @@
 
 _log = structlog.get_logger(__name__)
 
+# The least recently used push socket is closed above this number.
 MAX_SOCKETS = 96
+# Messages queued on one push socket.
 SEND_BUFFER = 64
-# Seconds for which a connection is kept, answered or not: many times what
-# opening one takes, half of the bound within which a version must be told.
+# Seconds before a connection may be replaced: many times longer than connection
+# setup, and half of the time in which a configuration version must spread.
 MIN_CONNECTION_AGE = 1.0
 
-# One loop on one thread decides; nng's own threads only move bytes. Its
-# defaults start 30 of them, these settings start 6 (docs/DESIGN.md).
+# Limits the threads of nng, which only do I/O, to 6; by default there are 30
+# (docs/DESIGN.md).
 _TASKS, _EXPIRY, _POLLERS, _RESOLVERS = (1, 5), (2, 6), (3, 7), (4,)
 _THREADS = {2: _TASKS, 1: _EXPIRY + _POLLERS + _RESOLVERS}
 for _threads, _parameters in _THREADS.items():
@@ -31,14 +33,18 @@
 
 
 class PushSockets:
-    """Sends and receives large messages."""
+    """Sends and receives large control messages.
+
+    Attributes:
+        reconnects: Number of connections replaced by a new one.
+    """
 
     def __init__(self, on_data: Callable[[bytes], None]):
         self._on_data = on_data
         self._socket_by_address: collections.OrderedDict[str, pynng.Push0] = (
             collections.OrderedDict()
         )
-        # Loop seconds at which a connection was opened.
+        # Loop time in seconds at which each connection was opened.
         self._opened_at_by_address: dict[str, float] = {}
         self._pull = pynng.Pull0(recv_max_size=messages.MAX_CONTROL_BYTES)
         self._listener: pynng.nng.Listener | None = None
@@ -47,10 +53,13 @@
         self.reconnects = 0
 
     def open(self, address: str) -> str:
-        """Listens; returns where, as port 0 lets the system choose one.
+        """Starts to listen; the system chooses the port if it is 0.
+
+        Returns:
+            The listen address, "ip:port".
 
         Raises:
-            pynng.AddressInUse: The address is taken.
+            pynng.AddressInUse: The address is in use.
         """
         self._listener = self._pull.listen(f"tcp://{address}")
         if self._task is None:
@@ -58,11 +67,14 @@
         return str(self._listener.local_address)
 
     def stop_listening(self) -> None:
-        """Listens no more at the address that was opened last."""
+        """Closes the listener that was opened last."""
         self._listener.close()
 
     async def close(self) -> None:
-        """Closes all sockets; nng aborts if a receive outlives them."""
+        """Closes all sockets and ends the receive task.
+
+        nng aborts the program if a receive outlives its socket.
+        """
         self._closed = True
         self._pull.close()
         if self._task is not None:
@@ -73,26 +85,29 @@
         self._socket_by_address.clear()
 
     def send(self, address: str, data: bytes, new_connection: bool) -> bool:
-        """Hands a message to the library; False where it does not take it.
+        """Queues a message for sending.
 
         Args:
-            address: Of the receiver.
+            address: Address of the receiver, "ip:port".
             data: The message.
-            new_connection: Whether it goes over a new connection.
+            new_connection: Whether to send it over a new connection.
+
+        Returns:
+            False if the message was dropped, as when the send buffer is full.
         """
         if new_connection:
-            self._hang_up(address)
+            self._close_connection(address)
         try:
-            self._socket(address).send(data, block=False)
+            self._get_socket(address).send(data, block=False)
         except pynng.NNGException:
             return False
         return True
 
-    def _hang_up(self, address: str) -> None:
-        """Drops a connection, and what still waits to be sent over it.
+    def _close_connection(self, address: str) -> None:
+        """Closes a connection and drops the messages queued on it.
 
-        A young one may still be opening, with what is to be sent; several
-        messages to a silent peer are often due at once.
+        Recent connections are kept: they may still be opening, with messages
+        queued. Several messages to an unresponsive peer are often due at once.
         """
         now = asyncio.get_running_loop().time()
         opened = self._opened_at_by_address.get(address, -math.inf)
@@ -103,7 +118,7 @@
             socket.close()
             self.reconnects += 1
 
-    def _socket(self, address: str) -> pynng.Push0:
+    def _get_socket(self, address: str) -> pynng.Push0:
         socket = self._socket_by_address.pop(address, None)
         if socket is None:
             socket = pynng.Push0(
@@ -116,8 +131,8 @@
             self._opened_at_by_address[address] = now
         self._socket_by_address[address] = socket
         if len(self._socket_by_address) > MAX_SOCKETS:
-            dropped, oldest = self._socket_by_address.popitem(last=False)
-            self._opened_at_by_address.pop(dropped, None)
+            evicted, oldest = self._socket_by_address.popitem(last=False)
+            self._opened_at_by_address.pop(evicted, None)
             oldest.close()
         return socket
 
@@ -128,9 +143,9 @@
             except pynng.Closed:
                 return
             except pynng.NNGException as error:
-                # A cancel may surface as an error of the library, too.
+                # nng may also report a cancelled receive as an error.
                 if self._closed:
                     return
-                _log.warning("control_receive", detail=str(error))
+                _log.warning("control_receive_failed", detail=str(error))
                 continue
             self._on_data(data)
--- a/forklift/shell/tcp_stream.py
+++ b/forklift/shell/tcp_stream.py
@@ -1,11 +1,12 @@
-"""A TCP connection with bounded buffers, read and written by one task."""
+"""TCP connections with bounded buffers and backpressure."""
 
 import asyncio
 import socket
 from collections.abc import Callable
 
+# Bytes buffered before reading is paused.
 READ_LIMIT = 65_536
-# Milliseconds; longer than any request of ours waits for its answer.
+# Longer than any request to a peer waits for its response.
 USER_TIMEOUT_MS = 8_000
 
 
@@ -20,11 +21,17 @@
 
 
 class ConnectionLost(ConnectionError):
-    """The other side closed the connection, or it broke."""
+    """The connection was closed by the other side or failed."""
 
 
 class Connection(asyncio.Protocol):
-    """Bytes in and out, with backpressure both ways."""
+    """A byte stream with backpressure in both directions.
+
+    Attributes:
+        on_lost: Called at the end of the input and when the connection closes.
+        error: The exception that ended the connection, if any.
+        peer: IP address of the other side.
+    """
 
     def __init__(
         self, on_connect: Callable[["Connection"], None] | None = None
@@ -33,20 +40,19 @@
         self._buffer = bytearray()
         self._eof = False
         self._lost = False
-        self._paused = False
-        self._shut = False
-        self._interruption: Exception | None = None
-        self._reader: asyncio.Future[None] | None = None
+        self._reading_paused = False
+        self._read_closed = False
+        self._read_error: Exception | None = None
+        self._read_waiter: asyncio.Future[None] | None = None
         self._can_write = asyncio.Event()
         self._can_write.set()
         self._closed_event = asyncio.Event()
         self.on_lost: Callable[[], None] | None = None
-        # Set when the connection broke rather than ended.
         self.error: Exception | None = None
         self.transport: asyncio.Transport | None = None
         self.peer = ""
 
-    # Called by the loop.
+    # Methods called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See `asyncio.Protocol`."""
@@ -58,18 +64,18 @@
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
-        if self._shut:
+        if self._read_closed:
             return
         self._buffer += data
-        if len(self._buffer) > READ_LIMIT and not self._paused:
-            self._paused = True
+        if len(self._buffer) > READ_LIMIT and not self._reading_paused:
+            self._reading_paused = True
             self.transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
         """See `asyncio.Protocol`."""
         self._eof = True
-        self._wake()
+        self._wake_reader()
         if self.on_lost is not None:
             self.on_lost()
         return False
@@ -81,7 +87,7 @@
         self.error = error
         self._can_write.set()
         self._closed_event.set()
-        self._wake()
+        self._wake_reader()
         if self.on_lost is not None:
             self.on_lost()
 
@@ -93,73 +99,73 @@
         """See `asyncio.Protocol`."""
         self._can_write.set()
 
-    # Called by the owner.
+    # Methods called by the owner.
 
     @property
     def closed(self) -> bool:
-        """Whether nothing more can come or go."""
-        return self._eof or self._lost or self._shut
+        """Whether the input has ended or the connection is closing."""
+        return self._eof or self._lost or self._read_closed
 
     @property
     def lost(self) -> bool:
-        """Whether the connection is gone, and all that was to be sent."""
+        """Whether the connection is closed; nothing more can be sent."""
         return self._lost
 
     @property
     def unsent(self) -> int:
-        """Bytes that were written and that the system has not taken."""
+        """Bytes written that are not yet in the kernel send buffer."""
         if self._lost or self.transport is None:
             return 0
         return self.transport.get_write_buffer_size()
 
     @property
     def congested(self) -> bool:
-        """Whether the other side takes bytes more slowly than they come."""
+        """Whether the write buffer is above its high-water mark."""
         return self._lost or not self._can_write.is_set()
 
     @property
     def buffered(self) -> int:
-        """Bytes that arrived and were not read."""
+        """Number of bytes received and not yet read."""
         return len(self._buffer)
 
     async def read(self) -> bytes:
-        """Returns what arrived; empty at the end of the connection.
+        """Returns the bytes received; empty at the end of the stream.
 
         Raises:
-            Exception: What `interrupt` was given.
+            Exception: The error passed to `interrupt`.
         """
-        while not (self._buffer or self._eof or self._shut):
-            if self._interruption is not None:
-                raise self._interruption
-            self._reader = asyncio.get_running_loop().create_future()
+        while not (self._buffer or self._eof or self._read_closed):
+            if self._read_error is not None:
+                raise self._read_error
+            self._read_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._reader
+                await self._read_waiter
             finally:
-                self._reader = None
+                self._read_waiter = None
         data = bytes(self._buffer)
         self._buffer.clear()
-        # What was awaited has come after all.
-        self._interruption = None
-        if self._paused and not self._lost:
-            self._paused = False
+        # Data has arrived in spite of the interruption.
+        self._read_error = None
+        if self._reading_paused and not self._lost:
+            self._reading_paused = False
             self.transport.resume_reading()
         return data
 
     def write(self, data: bytes) -> None:
-        """Queues bytes.
+        """Queues bytes for sending.
 
         Raises:
-            ConnectionLost: The connection is gone.
+            ConnectionLost: The connection is closed.
         """
-        if self._lost or self._shut or self.transport is None:
+        if self._lost or self._read_closed or self.transport is None:
             raise ConnectionLost("connection lost; open another")
         self.transport.write(data)
 
     async def drain(self) -> None:
-        """Waits until the other side takes bytes again.
+        """Waits until the write buffer is below its high-water mark.
 
         Raises:
-            ConnectionLost: The connection is gone.
+            ConnectionLost: The connection is closed.
         """
         if not self._can_write.is_set():
             await self._can_write.wait()
@@ -167,67 +173,67 @@
             raise ConnectionLost("connection lost; open another")
 
     def interrupt(self, error: Exception) -> None:
-        """Gives an error to whoever waits for bytes, now or later."""
-        self._interruption = error
-        self._wake()
+        """Makes the current or next `read` that has to wait raise an error."""
+        self._read_error = error
+        self._wake_reader()
 
     async def wait_closed(self) -> None:
-        """Waits until the connection is closed and all was sent."""
+        """Waits until the connection is closed."""
         await self._closed_event.wait()
 
     def half_close(self) -> None:
-        """Ends what is sent; the connection is closed by the other side.
+        """Closes the sending side and discards further input.
 
-        What still comes is dropped: a connection that is closed with unread
-        bytes is reset, and the other side may lose what it has not taken.
+        Input is still read: closing a connection with unread bytes causes a
+        reset, and the other side may lose data that it has not read yet.
         """
         if self.transport is None or self.transport.is_closing():
             return
-        self._shut_in()
-        if self._paused:
-            self._paused = False
+        self._stop_reading()
+        if self._reading_paused:
+            self._reading_paused = False
             self.transport.resume_reading()
         self.transport.write_eof()
 
     def close(self) -> None:
-        """Closes after what is queued was sent; nothing more is read."""
-        self._shut_in()
+        """Stops reading and closes the connection once all data is sent."""
+        self._stop_reading()
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Closes at once; the other side sees a broken connection."""
-        self._shut_in()
+        """Closes the connection at once and discards unsent data."""
+        self._stop_reading()
         if self.transport is not None:
             self.transport.abort()
 
-    def _shut_in(self) -> None:
-        # What is read after this would run, and its answer go nowhere.
-        self._shut = True
+    def _stop_reading(self) -> None:
+        # A request read from now on would run without a way to respond.
+        self._read_closed = True
         self._buffer.clear()
-        self._wake()
+        self._wake_reader()
 
-    def _wake(self) -> None:
-        if self._reader is not None and not self._reader.done():
-            self._reader.set_result(None)
+    def _wake_reader(self) -> None:
+        if self._read_waiter is not None and not self._read_waiter.done():
+            self._read_waiter.set_result(None)
 
 
 def set_user_timeout(transport: asyncio.BaseTransport) -> None:
-    """Ends a connection whose other side acknowledges nothing for a while.
+    """Sets TCP_USER_TIMEOUT, which closes a connection without acknowledgments.
 
-    Without it, one to an instance that lost power would hang for minutes.
+    Otherwise a connection to an instance that lost power hangs for minutes.
     """
-    end = transport.get_extra_info("socket")
-    if end is not None:
+    sock = transport.get_extra_info("socket")
+    if sock is not None:
         option = socket.TCP_USER_TIMEOUT
-        end.setsockopt(socket.IPPROTO_TCP, option, USER_TIMEOUT_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, option, USER_TIMEOUT_MS)
 
 
 async def connect(address: str) -> Connection:
     """Opens a connection to "ip:port".
 
     Raises:
-        OSError: Refused or unreachable.
+        OSError: The address refused the connection or is unreachable.
     """
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
@@ -236,7 +242,7 @@
 
 
 def bound_address(server: asyncio.Server) -> str:
-    """Where a server listens, as "ip:port"."""
+    """Returns the address that a server listens at, "ip:port"."""
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
@@ -244,10 +250,10 @@
 async def listen(
     address: str, on_connect: Callable[[Connection], None]
 ) -> asyncio.Server:
-    """Listens on "ip:port" and hands each connection to `on_connect`.
+    """Listens at "ip:port" and passes each connection to `on_connect`.
 
     Raises:
-        OSError: The address is taken or not ours.
+        OSError: The address is in use or not local.
     """
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
--- a/test/test_control_channel.py
+++ b/test/test_control_channel.py
@@ -1,4 +1,4 @@
-"""Control messages: small and large ones, compressed, bounded, sealed."""
+"""Control messages: transport, compression, size limits, authentication."""
 
 import contextlib
 import errno
@@ -25,73 +25,73 @@
     ],
     ids=["too large", "cut short", "damaged"],
 )
-def test_what_does_not_expand_as_it_should_is_refused(data):
+def test_invalid_compressed_message_is_rejected(data):
     with pytest.raises(messages.MalformedMessage):
-        control_channel._unpack(data)
+        control_channel._decompress(data)
 
 
-def test_a_message_goes_over_a_new_connection_where_that_is_asked_for(
+def test_message_is_sent_over_a_new_connection_on_request(
     monkeypatch,
 ):
-    """One that fell silent takes messages for minutes and loses them."""
+    """An unresponsive connection accepts messages, but loses them."""
     monkeypatch.setattr(push_sockets, "MIN_CONNECTION_AGE", 0.0)
 
-    async def work():
-        taken = []
-        listening = await tcp_stream.listen("127.0.0.1:0", taken.append)
+    async def run_test():
+        received = []
+        listening = await tcp_stream.listen("127.0.0.1:0", received.append)
         address = tcp_stream.bound_address(listening)
-        one = push_sockets.PushSockets(print)
+        sender = push_sockets.PushSockets(print)
         for _ in range(3):
-            assert one.send(address, b"x", False)
-            await helper.until(lambda: taken)
-        assert (len(taken), one.reconnects) == (1, 0)
-        assert one.send(address, b"x", True)
-        await helper.until(lambda: len(taken) == 2)
-        await helper.until(lambda: taken[0].closed)
-        assert not taken[1].closed
-        assert one.reconnects == 1
-        await one.close()
+            assert sender.send(address, b"x", False)
+            await helper.until(lambda: received)
+        assert (len(received), sender.reconnects) == (1, 0)
+        assert sender.send(address, b"x", True)
+        await helper.until(lambda: len(received) == 2)
+        await helper.until(lambda: received[0].closed)
+        assert not received[1].closed
+        assert sender.reconnects == 1
+        await sender.close()
         listening.close()
 
-    helper.run(work())
+    helper.run(run_test())
 
 
-def test_a_renewal_does_not_drop_what_went_over_one_just_before():
-    """A ping and a version are often due to a silent peer in one tick."""
+def test_replacing_a_connection_keeps_messages_sent_just_before():
+    """A ping and a version are often sent to a peer in the same tick."""
 
-    async def work():
-        taken = []
-        other = push_sockets.PushSockets(taken.append)
-        address = other.open("127.0.0.1:0")
-        one = push_sockets.PushSockets(print)
+    async def run_test():
+        received = []
+        receiver = push_sockets.PushSockets(received.append)
+        address = receiver.open("127.0.0.1:0")
+        sender = push_sockets.PushSockets(print)
         for data in (b"1", b"2"):
-            assert one.send(address, data, True)
-        assert one.send(address, b"3", False)
-        await helper.until(lambda: taken and taken[-1] == b"3")
-        await one.close()
-        await other.close()
-        assert sorted(taken) == [b"1", b"2", b"3"]
+            assert sender.send(address, data, True)
+        assert sender.send(address, b"3", False)
+        await helper.until(lambda: received and received[-1] == b"3")
+        await sender.close()
+        await receiver.close()
+        assert sorted(received) == [b"1", b"2", b"3"]
 
-    helper.run(work())
+    helper.run(run_test())
 
 
 @contextlib.asynccontextmanager
 async def pair(key: bytes = b""):
-    """A sender, a receiver, and what the receiver took."""
-    taken: list[messages.Control] = []
-    one = control_channel.ControlChannel(
+    """Yields a sender, a receiver and the messages received."""
+    received: list[messages.Control] = []
+    sender = control_channel.ControlChannel(
         "127.0.0.1:0", 1, key, lambda: 0.0, print
     )
-    other = control_channel.ControlChannel(
-        "127.0.0.1:0", 2, key, lambda: 0.0, taken.append
+    receiver = control_channel.ControlChannel(
+        "127.0.0.1:0", 2, key, lambda: 0.0, received.append
     )
-    one.open()
-    other.open()
+    sender.open()
+    receiver.open()
     try:
-        yield one, other, taken
+        yield sender, receiver, received
     finally:
-        await one.close()
-        await other.close()
+        await sender.close()
+        await receiver.close()
 
 
 SENDER = messages.Sender("p", "p")
@@ -100,103 +100,102 @@
 
 
 @pytest.mark.parametrize("key", [b"", b"k"])
-def test_small_and_large_messages_arrive_at_one_address(key):
-    async def work():
-        async with pair(key) as (one, other, taken):
-            assert one.send(other.address, SMALL)
-            await helper.until(lambda: taken == [SMALL])
-            assert one.send(other.address, LARGE)
-            await helper.until(lambda: taken == [SMALL, LARGE])
-            assert (other.received, other.rejected) == (2, 0)
+def test_small_and_large_messages_arrive_at_the_same_address(key):
+    async def run_test():
+        async with pair(key) as (sender, receiver, received):
+            assert sender.send(receiver.address, SMALL)
+            await helper.until(lambda: received == [SMALL])
+            assert sender.send(receiver.address, LARGE)
+            await helper.until(lambda: received == [SMALL, LARGE])
+            assert (receiver.received, receiver.rejected) == (2, 0)
 
-    helper.run(work())
+    helper.run(run_test())
 
 
-def test_small_messages_open_no_connection():
-    """A connection for each of many peers cost each process a third of the
-    processor time that it used while it was idle."""
+def test_small_messages_need_no_connection():
+    """A connection to each peer costs much processor time in a large fleet."""
 
-    async def work():
-        async with pair() as (one, other, taken):
+    async def run_test():
+        async with pair() as (sender, receiver, received):
             for _ in range(5):
-                one.send(other.address, SMALL)
-            await helper.until(lambda: len(taken) == 5)
-            assert not one._push_sockets._socket_by_address
+                sender.send(receiver.address, SMALL)
+            await helper.until(lambda: len(received) == 5)
+            assert not sender._push_sockets._socket_by_address
 
-    helper.run(work())
+    helper.run(run_test())
 
 
-def test_a_message_to_nobody_does_no_harm():
-    async def work():
-        async with pair() as (one, other, taken):
+def test_message_to_unreachable_address_does_no_harm():
+    async def run_test():
+        async with pair() as (sender, receiver, received):
             for address in ("127.0.0.1:9", "nowhere", "127.0.0.1:99999"):
-                one.send(address, SMALL)
-            one.send(other.address, SMALL)
-            await helper.until(lambda: taken == [SMALL])
+                sender.send(address, SMALL)
+            sender.send(receiver.address, SMALL)
+            await helper.until(lambda: received == [SMALL])
 
-    helper.run(work())
+    helper.run(run_test())
 
 
-def test_a_port_that_others_send_datagrams_from_is_left_to_them(monkeypatch):
-    """Where the system chooses the port, both kinds must have the same one."""
+def test_port_in_use_for_datagrams_is_not_chosen(monkeypatch):
+    """TCP and UDP must have the same port, also if the system chooses it."""
     taken_ports = []
-    opened = datagrams.DatagramSocket.open
+    original_open = datagrams.DatagramSocket.open
 
-    def open_(self, address: str) -> None:
+    def fail_twice(self, address: str) -> None:
         if len(taken_ports) < 2:
             taken_ports.append(address)
             raise OSError(errno.EADDRINUSE, "taken")
-        opened(self, address)
+        original_open(self, address)
 
-    monkeypatch.setattr(datagrams.DatagramSocket, "open", open_)
+    monkeypatch.setattr(datagrams.DatagramSocket, "open", fail_twice)
 
-    async def work():
-        one = control_channel.ControlChannel(
+    async def run_test():
+        channel = control_channel.ControlChannel(
             "127.0.0.1:0", 1, b"", lambda: 0.0, print
         )
-        one.open()
-        assert one.address not in taken_ports
-        # It listens at the last one only.
+        channel.open()
+        assert channel.address not in taken_ports
+        # The listeners at the rejected ports are closed.
         for address in taken_ports:
             with pytest.raises(OSError):
                 await tcp_stream.connect(address)
-        await one.close()
+        await channel.close()
 
-    helper.run(work())
+    helper.run(run_test())
 
 
-def test_a_code_covers_the_address_that_others_send_to():
-    seal = authentication.MessageAuthenticator(1, b"k", lambda: 0.0)
-    sealed = seal.sign("127.0.0.1:9", b"data")
+def test_authentication_code_covers_the_address_of_the_receiver():
+    sender = authentication.MessageAuthenticator(1, b"k", lambda: 0.0)
+    signed = sender.sign("127.0.0.1:9", b"data")
     receiver = authentication.MessageAuthenticator(2, b"k", lambda: 0.0)
     with pytest.raises(messages.MalformedMessage):
-        receiver.verify("127.0.0.1:8", sealed)
-    assert receiver.verify("127.0.0.1:9", sealed) == b"data"
+        receiver.verify("127.0.0.1:8", signed)
+    assert receiver.verify("127.0.0.1:9", signed) == b"data"
     with pytest.raises(messages.MalformedMessage):
-        receiver.verify("127.0.0.1:9", sealed)
+        receiver.verify("127.0.0.1:9", signed)
 
 
-def test_messages_that_overtake_each_other_are_taken_once_each():
-    seal = authentication.MessageAuthenticator(1, b"k", lambda: 0.0)
-    sent = [seal.sign("a", b"%d" % number) for number in range(50)]
+def test_reordered_messages_are_accepted_once_each():
+    sender = authentication.MessageAuthenticator(1, b"k", lambda: 0.0)
+    sent = [sender.sign("a", b"%d" % number) for number in range(50)]
     receiver = authentication.MessageAuthenticator(2, b"k", lambda: 0.0)
     order = random.Random(3).sample(sent, len(sent))
-    assert len({receiver.verify("a", one) for one in order}) == 50
-    for one in sent:
+    assert len({receiver.verify("a", message) for message in order}) == 50
+    for message in sent:
         with pytest.raises(messages.MalformedMessage):
-            receiver.verify("a", one)
+            receiver.verify("a", message)
 
 
-def test_a_message_from_far_behind_or_another_time_is_refused():
+def test_message_with_an_old_counter_or_time_is_rejected():
     now = [0.0]
-    seal = authentication.MessageAuthenticator(1, b"k", lambda: now[0])
-    old = seal.sign("a", b"old")
+    sender = authentication.MessageAuthenticator(1, b"k", lambda: now[0])
+    old = sender.sign("a", b"old")
     receiver = authentication.MessageAuthenticator(2, b"k", lambda: 0.0)
     for _ in range(authentication.REPLAY_WINDOW):
-        newest = seal.sign("a", b"new")
+        newest = sender.sign("a", b"new")
     receiver.verify("a", newest)
     with pytest.raises(messages.MalformedMessage):
         receiver.verify("a", old)
     now[0] = authentication.MAX_AGE + 1.0
     with pytest.raises(messages.MalformedMessage):
-        receiver.verify("a", seal.sign("a", b"of another time"))
+        receiver.verify("a", sender.sign("a", b"of another time"))
--- a/test/test_control_protocols.py
+++ b/test/test_control_protocols.py
@@ -1,4 +1,4 @@
-"""What neighbours tell each other beside news of members."""
+"""Protocols over control messages: versions, pings, reminders."""
 
 import random
 import types
@@ -18,7 +18,7 @@
 
 
 class Rig:
-    """Neighbours of one process, with what they send kept."""
+    """The protocols of one process; records the messages they send."""
 
     def __init__(self):
         self.clock = helper.FakeClock()
@@ -41,14 +41,14 @@
         )
 
     def publish(self, version: int) -> None:
-        """A version comes into force here."""
-        found = catalog.Catalog(
+        """Activates a version in this process."""
+        published = catalog.Catalog(
             version, routing.Table(()), {}, catalog.DEFAULT_LIMITS, b"record"
         )
-        self.active_catalog.offer(found, "store", self.clock.monotonic())
+        self.active_catalog.offer(published, "store", self.clock.monotonic())
 
-    def hear(self, config: int) -> list[int]:
-        """A peer with a version pings; the versions that it is told of."""
+    def receive_ping(self, config: int) -> list[int]:
+        """Receives a ping from a peer; returns the versions announced."""
         self.sent.clear()
         peer = helper.info("peer", config=config)
         self.control_protocols.receive(messages.Ping(peer, 1, 0.0, 0, ()))
@@ -58,8 +58,8 @@
             if isinstance(message, messages.CatalogVersion)
         ]
 
-    def ask(self, config: int) -> list[int]:
-        """A peer with a version asks for a newer; the versions it is given."""
+    def receive_request(self, config: int) -> list[int]:
+        """Receives a catalog request; returns the versions offered."""
         self.sent.clear()
         peer = messages.Sender("peer", "peer")
         self.control_protocols.receive(messages.CatalogRequest(peer, 1, config))
@@ -70,66 +70,68 @@
         ]
 
 
-def test_a_peer_that_is_behind_is_handed_the_version_in_force():
+def test_lagging_peer_gets_the_active_version():
     rig = Rig()
     rig.publish(2)
     rig.control_protocols.tick(rig.clock.monotonic())
-    assert rig.hear(config=1) == []
+    assert rig.receive_ping(config=1) == []
     rig.clock.now += dissemination.PEER_FALLBACK_DELAY
-    assert rig.hear(config=2) == []
-    assert rig.hear(config=1) == [2]
-    assert rig.ask(config=2) == []
-    assert rig.ask(config=1) == [2]
+    assert rig.receive_ping(config=2) == []
+    assert rig.receive_ping(config=1) == [2]
+    assert rig.receive_request(config=2) == []
+    assert rig.receive_request(config=1) == [2]
 
 
-def test_one_that_knows_no_version_is_told_at_once():
+def test_peer_without_a_version_learns_of_the_active_one_at_once():
     rig = Rig()
     rig.publish(2)
-    assert rig.hear(config=0) == [2]
+    assert rig.receive_ping(config=0) == [2]
 
 
-def test_a_quick_succession_of_versions_leaves_no_peer_behind():
-    """One that could not reach the store was behind for 2.1 s, as the last
-    version was never old enough to be handed on."""
+def test_rapid_versions_still_reach_peers_without_the_store():
+    """Each version would otherwise be too recent to be forwarded to peers."""
     rig = Rig()
     rig.publish(1)
-    told = []
+    announced = []
     for version in range(2, 12):
         rig.clock.now += dissemination.PEER_FALLBACK_DELAY / 2
         rig.publish(version)
         rig.control_protocols.tick(rig.clock.monotonic())
-        told += rig.hear(config=1)
-    assert told
+        announced += rig.receive_ping(config=1)
+    assert announced
 
 
-def test_an_unanswered_ping_is_sent_again_over_a_new_connection():
-    """A connection that fell silent takes messages for minutes, and nothing
-    about it changed when answers were missing."""
-    found = fleet.Fleet(2)
-    found.fall_silent()
-    found.run(2 * (gossip.PING_PERIOD + gossip.PONG_TIMEOUT))
-    assert found.silent == set()
+def test_unanswered_ping_is_repeated_over_a_new_connection():
+    """An unresponsive connection accepts messages, but loses them."""
+    simulated = fleet.Fleet(2)
+    simulated.fall_silent()
+    simulated.run(2 * (gossip.PING_PERIOD + gossip.PONG_TIMEOUT))
+    assert simulated.silent == set()
 
 
-def test_a_ping_that_came_again_is_answered_over_a_new_connection():
-    found = gossip.Gossip(
+def test_repeated_ping_is_answered_over_a_new_connection():
+    receiver = gossip.Gossip(
         membership.Directory(helper.info("own")), random.Random(1)
     )
     for again in (False, True):
         ping = messages.Ping(helper.info("peer"), 1, 1.0, 0, (), again)
-        (pong,) = found.receive(ping, 1.0)
+        (pong,) = receiver.receive(ping, 1.0)
         assert pong.new_connection is again
 
 
-def test_a_version_that_was_handed_over_is_told_on_in_the_same_turn():
-    """With its age, so that nobody leaves it to the store once more."""
-    found = fleet.Fleet(3)
-    told = []
-    found.send = lambda sender, receiver, message, renew: told.append(message)
+def test_offered_version_is_announced_in_the_same_turn():
+    """With its age, so that peers do not wait for the store once more."""
+    simulated = fleet.Fleet(3)
+    announced = []
+    simulated.send = lambda sender, receiver, message, renew: announced.append(
+        message
+    )
     offer = messages.CatalogOffer(
         messages.Sender("p1", "p1"), 2, zlib.compress(b"2"), 1.5
     )
-    found.node_by_name["p0"].control_protocols.receive(offer)
-    versions = [one for one in told if isinstance(one, messages.CatalogVersion)]
+    simulated.node_by_name["p0"].control_protocols.receive(offer)
+    versions = [
+        one for one in announced if isinstance(one, messages.CatalogVersion)
+    ]
     assert [(one.version, one.age) for one in versions if one.confirm]
     assert {(one.version, one.age) for one in versions} == {(2, 1.5)}
--- a/test/test_framing.py
+++ b/test/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames between processes: cut, compressed, bounded."""
+"""Framing between processes: splitting, compression and size limits."""
 
 import random
 
@@ -9,11 +9,13 @@
 from forklift import messages
 from forklift.shell import framing
 
-few = hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
+few_examples = hypothesis.settings(
+    max_examples=200, deadline=None, derandomize=True
+)
 
 
 class Transport:
-    """Hands what is written to the other side, in pieces of any size."""
+    """Delivers written data to the receiver in chunks of random size."""
 
     def __init__(self, other: framing.FrameConnection, rng: random.Random):
         self.other = other
@@ -61,7 +63,7 @@
     )
 
 
-def test_frames_arrive_as_they_were_sent_compressed_or_not():
+def test_frames_arrive_unchanged_with_and_without_compression():
     sent = [
         head(1),
         messages.BodyChunk(1, b"x" * 400, True),
@@ -78,25 +80,25 @@
     assert sizes[True] < sizes[False] / 2
 
 
-def test_a_frame_that_expands_without_bound_is_refused():
+def test_frame_that_expands_beyond_limit_is_rejected():
     sender, received, _ = connected(False)
     receiver = sender.transport.other
-    bomb = framing._FrameCompressor().pack(
+    bomb = framing._FrameCompressor().compress(
         b"\0" * (messages.MAX_FRAME_BYTES * 4)
     )
-    prefix = framing._PREFIX.pack(framing._COMPRESSED | len(bomb))
+    prefix = framing._LENGTH_PREFIX.pack(framing._COMPRESSED_FLAG | len(bomb))
     receiver.data_received(prefix + bomb)
     assert receiver.transport.aborted
     assert received == []
     with pytest.raises(messages.MalformedMessage, match="expands"):
-        framing._FrameDecompressor().expand(bomb)
+        framing._FrameDecompressor().decompress(bomb)
 
 
 @hypothesis.given(strategies.binary(max_size=200), strategies.booleans())
-@few
-def test_damaged_frames_end_the_connection_and_nothing_else(data, marked):
+@few_examples
+def test_corrupt_frame_only_closes_the_connection(data, compressed):
     sender, received, _ = connected(False)
     receiver = sender.transport.other
-    mark = framing._COMPRESSED if marked else 0
-    receiver.data_received(framing._PREFIX.pack(mark | len(data)) + data)
+    flag = framing._COMPRESSED_FLAG if compressed else 0
+    receiver.data_received(framing._LENGTH_PREFIX.pack(flag | len(data)) + data)
     assert receiver.transport.aborted or len(received) == 1
--- a/test/test_peer_client.py
+++ b/test/test_peer_client.py
@@ -1,4 +1,4 @@
-"""The side of a connection between processes that asks."""
+"""Handshake of connections between processes, on the client side."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class Transport:
-    """Takes what is written."""
+    """Records the last write."""
 
     def get_extra_info(self, name: str) -> None:
         return None
@@ -25,16 +25,18 @@
     return messages.Hello("p", 1, 1, b"n" * framing.NONCE_BYTES, compress)
 
 
-@pytest.mark.parametrize("asks", [True, False])
-@pytest.mark.parametrize("agrees", [True, False])
-def test_frames_are_compressed_only_where_both_sides_want_it(asks, agrees):
+@pytest.mark.parametrize("requested", [True, False])
+@pytest.mark.parametrize("accepted", [True, False])
+def test_frames_are_compressed_only_if_both_sides_request_it(
+    requested, accepted
+):
     async def work():
         frames = framing.FrameConnection()
         frames.connection_made(Transport())
-        link = peer_client.ClientConnection(frames, hello(asks), b"key")
+        link = peer_client.ClientConnection(frames, hello(requested), b"key")
         link.send_hello()
         assert not frames.compress
-        frames.on_frame(hello(agrees))
-        assert frames.compress == (asks and agrees)
+        frames.on_frame(hello(accepted))
+        assert frames.compress == (requested and accepted)
 
     helper.run(work())
--- a/test/test_silent_connections.py
+++ b/test/test_silent_connections.py
@@ -1,7 +1,7 @@
-"""What adds up for each promise that rests on noticing a silent connection.
+"""Timeouts that detect unresponsive connections add up to less than the limits.
 
-The figures are those of the table in docs/DESIGN.md; bounds are the least that
-users set for any deployment.
+The sums are those of the table in docs/DESIGN.md; the limits are the strictest
+of all deployments.
 """
 
 import pathlib
@@ -18,31 +18,33 @@
 from forklift.shell import ticker
 
 DESIGN = pathlib.Path(__file__).parent.parent / "docs" / "DESIGN.md"
-# The longest way of a message between two failure domains, seconds.
-WAY = 0.01
+# Maximum one-way latency between two failure domains in seconds.
+ONE_WAY_LATENCY = 0.01
 TICK = ticker.BUSY_INTERVAL
 
-# Seconds by promise: what adds up, and the bound.
-SUM_BY_PROMISE = {
+# Sum of the timeouts and its limit, in seconds, by row of the table.
+SUM_BY_ROW = {
     "a version reaches who the store leaves out": (
-        # It is left to the store; the first offer is lost, the next goes over a
-        # new connection; what is asked for is lost too, and asked again.
+        # Waits for the store. The first offer is lost and repeated over a new
+        # connection. The requested catalog is lost too and requested again.
         dissemination.PEER_FALLBACK_DELAY
         + TICK
         + dissemination.RETRY_INITIAL
         + TICK
         + dissemination.RETRY_INITIAL
         + TICK
-        + 4 * WAY,
+        + 4 * ONE_WAY_LATENCY,
         2.0,
     ),
     "processes that lost each other meet after the store is back": (
-        store.REQUEST_TIMEOUT + store_follower.MAX_BACKOFF + 3 * WAY,
+        store.REQUEST_TIMEOUT
+        + store_follower.MAX_BACKOFF
+        + 3 * ONE_WAY_LATENCY,
         2.0,
     ),
     "a request leaves a path that fell silent": (
-        # One tick notes that a sign is due, another that it did not come.
-        reachability.REPLY_TIMEOUT + 2 * TICK + WAY,
+        # One tick sets the reply deadline, another one detects that it passed.
+        reachability.REPLY_TIMEOUT + 2 * TICK + ONE_WAY_LATENCY,
         0.8,
     ),
     "a silent control connection is opened anew": (
@@ -52,24 +54,24 @@
 }
 
 
-def test_two_signs_may_be_missing_before_a_path_is_given_up():
-    """A peer gives them with its ticks, and a tick may be late by one."""
+def test_peer_may_miss_two_keepalives_before_it_is_unreachable():
+    """Peers send keep-alives at ticks, and one may be a tick late."""
     assert (
         reachability.REPLY_TIMEOUT
         >= 2 * proxy.KEEPALIVE_INTERVAL + ticker.BUSY_INTERVAL - 1e-9
     )
 
 
-@pytest.mark.parametrize("promise", SUM_BY_PROMISE)
-def test_what_adds_up_is_within_its_bound(promise):
-    total, bound = SUM_BY_PROMISE[promise]
-    assert total <= bound
+@pytest.mark.parametrize("row_name", SUM_BY_ROW)
+def test_sum_of_timeouts_is_within_its_limit(row_name):
+    total, limit = SUM_BY_ROW[row_name]
+    assert total <= limit
 
 
-@pytest.mark.parametrize("promise", SUM_BY_PROMISE)
-def test_the_table_tells_what_the_code_does(promise):
-    total, bound = SUM_BY_PROMISE[promise]
-    figures = r"[^|]* \| ([\d.]+) \| ([\d.]+) \|"
-    row = re.search(rf"\| {promise} \| {figures}", DESIGN.read_text())
-    assert row, "the table lacks it"
-    assert (float(row[1]), float(row[2])) == (round(total, 2), bound)
+@pytest.mark.parametrize("row_name", SUM_BY_ROW)
+def test_table_in_design_document_matches_the_code(row_name):
+    total, limit = SUM_BY_ROW[row_name]
+    numbers = r"[^|]* \| ([\d.]+) \| ([\d.]+) \|"
+    row = re.search(rf"\| {row_name} \| {numbers}", DESIGN.read_text())
+    assert row, "the table has no such row"
+    assert (float(row[1]), float(row[2])) == (round(total, 2), limit)
