--- a/forklift/shell/connection_pool.py
+++ b/forklift/shell/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one target, kept between requests and within its limit."""
+"""Pool of HTTP connections to one target."""
 
 import asyncio
 import collections
@@ -11,15 +11,15 @@
 
 Reason = messages.Reason
 
-# Seconds in which a target whose answer broke off must take a connection, or
-# refuse it as one that ended does; it is on this instance.
+# Connect timeout, in seconds, for checking whether a target has exited after an
+# incomplete response; the target is on this instance.
 CHECK_TIMEOUT = 0.25
-# Seconds that a connection is kept which was made to look.
+# Seconds for which the connection of such a check is kept alive.
 CHECK_KEEP_ALIVE = 0.8
-# Seconds until a target beside must have taken a connection.
+# Connect timeout, in seconds; the target is on this instance.
 CONNECT_TIMEOUT = 1.0
-# Work that must not repeat takes a connection only this soon after its last
-# use: a target may forget an idle one earlier than it says, and the reset
+# Maximum idle time, in seconds, of connections for non-idempotent requests. A
+# target may close an idle connection earlier than it announced, and the reset
 # would leave the outcome unknown.
 MAX_IDLE_NON_IDEMPOTENT = 2.0
 
@@ -30,19 +30,27 @@
     def __init__(self, reason: Reason, detail: str):
         self.reason = reason
         super().__init__(
-            f"the target did not run it ({detail}); another one may take it"
+            f"the target did not run the request ({detail}); try another target"
         )
 
 
 @dataclasses.dataclass(frozen=True)
-class _Idle:
+class _IdleConnection:
     connection: tcp_stream.Connection
-    since: float
-    until: float
+    idle_since: float
+    expires_at: float
 
 
 class Pool:
-    """Connections to one target, within its limit."""
+    """Pool of connections to one target.
+
+    Attributes:
+        address: Address of the target.
+        max_connections: Maximum number of open connections.
+        open_count: Number of connections, idle, in use or being opened.
+        created: Number of connections opened so far.
+        reused: Number of times that an idle connection was reused.
+    """
 
     def __init__(
         self, address: str, max_connections: int, now: Callable[[], float]
@@ -53,46 +61,57 @@
         self.created = 0
         self.reused = 0
         self._now = now
-        self._idle: collections.deque[_Idle] = collections.deque()
+        self._idle: collections.deque[_IdleConnection] = collections.deque()
         self._busy: set[tcp_stream.Connection] = set()
 
     async def acquire(self, idempotent: bool) -> tcp_stream.Connection:
-        """A connection that carries nothing.
+        """Returns an idle connection, or opens one.
+
+        Args:
+            idempotent: Whether the request is idempotent; if not, connections
+                that were idle for long are closed.
 
         Raises:
-            NotSent: The target can't be connected to.
+            NotRun: The connection failed, or all connections are in use.
         """
-        self._drop_old()
+        self._drop_expired()
         while self._idle:
             idle = self._idle.pop()
             usable = not idle.connection.closed and not idle.connection.buffered
-            fresh = self._now() - idle.since < MAX_IDLE_NON_IDEMPOTENT
+            fresh = self._now() - idle.idle_since < MAX_IDLE_NON_IDEMPOTENT
             if usable and (idempotent or fresh):
                 self.reused += 1
                 self._busy.add(idle.connection)
                 return idle.connection
             self.discard(idle.connection)
         if self.open_count >= self.max_connections:
-            raise NotRun(Reason.BUSY, "its connections are in use")
+            raise NotRun(Reason.BUSY, "all connections are in use")
         return await self._connect()
 
-    def release(self, connection: tcp_stream.Connection, idle: float) -> None:
-        """Returns a connection whose answer was whole and its own."""
-        if idle <= 0 or connection.closed or connection.buffered:
+    def release(
+        self, connection: tcp_stream.Connection, keep_alive: float
+    ) -> None:
+        """Returns a connection to the pool after a complete response.
+
+        Args:
+            connection: The connection.
+            keep_alive: Seconds for which it may be idle.
+        """
+        if keep_alive <= 0 or connection.closed or connection.buffered:
             self.discard(connection)
             return
         now = self._now()
         self._busy.discard(connection)
-        self._idle.append(_Idle(connection, now, now + idle))
+        self._idle.append(_IdleConnection(connection, now, now + keep_alive))
 
     def discard(self, connection: tcp_stream.Connection) -> None:
-        """Closes a connection; whatever it still brings is never read."""
+        """Closes a connection without reading from it again."""
         self.open_count -= 1
         self._busy.discard(connection)
         connection.abort()
 
     def close_all(self) -> None:
-        """Closes all connections: nothing answers on them any more."""
+        """Closes all connections, also those in use, as the target is gone."""
         self.close_idle()
         for connection in self._busy:
             connection.abort()
@@ -103,7 +122,7 @@
             self.discard(self._idle.pop().connection)
 
     async def is_refusing(self) -> bool:
-        """Whether nothing listens at the target's address any more."""
+        """Returns whether the target's address refuses connections."""
         if self.open_count >= self.max_connections:
             return False
         try:
@@ -132,11 +151,11 @@
         self._busy.add(connection)
         return connection
 
-    def _drop_old(self) -> None:
+    def _drop_expired(self) -> None:
         now = self._now()
-        kept: collections.deque[_Idle] = collections.deque()
+        kept: collections.deque[_IdleConnection] = collections.deque()
         for idle in self._idle:
-            if idle.until <= now or idle.connection.closed:
+            if idle.expires_at <= now or idle.connection.closed:
                 self.discard(idle.connection)
             else:
                 kept.append(idle)
--- a/forklift/shell/dispatch.py
+++ b/forklift/shell/dispatch.py
@@ -1,7 +1,8 @@
-"""Sends a request to the guard of a target, and finds out what became of it.
+"""Sends requests to the processes that own the targets.
 
-Work that must not repeat is fenced where its path falls silent: the guard's
-word that it never starts, over whatever path, lets it go elsewhere.
+If the connection fails while a non-idempotent request is in flight, the request
+is fenced. Once the target's process confirms, directly or through a relay, that
+the request never starts there, another target can be tried.
 """
 
 import asyncio
@@ -24,25 +25,26 @@
 Outcome = messages.Outcome
 Reason = messages.Reason
 
-# The guard's own word on a deadline gets this long to arrive, seconds.
+# Seconds after the deadline in which the target's process may still report it.
 DEADLINE_GRACE = 0.05
-# Bodies from this size on follow only once the gate lets the request start:
-# a refusal then costs the head alone, bytes.
+# Bodies of this size or more, in bytes, are sent only after the request is
+# admitted, so that a rejection costs only the head.
 MIN_DEFERRED_BODY_BYTES = 1024
-# Other processes that are asked to reach a guard when the own path is silent.
+# Maximum number of processes that relay a fence request if the connection to
+# the target's process has failed.
 MAX_RELAYS = 2
-# Seconds after which to come back when the process of a target was lost.
+# Retry-After, in seconds, if the target's process is unreachable.
 RETRY_AFTER = 0.5
 
 
 class Dispatcher:
-    """Sends requests of one entry to guards of other processes."""
+    """Sends requests to targets of other processes."""
 
     def __init__(
         self,
         name: str,
         boot: int,
-        links: peer_connections.PeerConnections,
+        connections: peer_connections.PeerConnections,
         targets: local_targets.LocalTargets,
         next_seq: Callable[[], int],
         clock,
@@ -50,7 +52,7 @@
     ):
         self._name = name
         self._boot = boot
-        self._links = links
+        self._connections = connections
         self._local_targets = targets
         self._next_seq = next_seq
         self._clock = clock
@@ -66,25 +68,26 @@
         start_by: float,
         exclusive: bool = False,
     ) -> exchange.Result:
-        """Sends a request over the path to a guard.
+        """Sends a request to the process that owns a target.
 
         Args:
             request: The request.
-            selection: The target and the process beside it.
-            sink: Where the answer goes.
-            required_health: How much doubt about the target it accepts.
-            wait: Whether it waits there for a slot.
-            start_by: Monotonic seconds by which it must have started there.
-            exclusive: Whether it runs only while nothing else does.
+            selection: The target and its process.
+            sink: Receives the response.
+            required_health: How healthy the target must be.
+            wait: Whether the request queues for a slot.
+            start_by: Monotonic seconds by which it must have started.
+            exclusive: Whether it may only run while the target runs nothing
+                else.
 
         Raises:
-            tcp_stream.ConnectionLost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink's connection is lost.
             asyncio.CancelledError: The caller gave up.
         """
         try:
-            link = await self._links.get(selection.process)
+            connection = await self._connections.get(selection.process)
             return await self._send_over(
-                link,
+                connection,
                 request,
                 selection,
                 sink,
@@ -98,7 +101,7 @@
 
     async def _send_over(
         self,
-        link: peer_client.ClientConnection,
+        connection: peer_client.ClientConnection,
         request: exchange.Request,
         selection: load_balancer.Selection,
         sink: exchange.Sink,
@@ -111,8 +114,13 @@
         if remaining <= 0:
             return exchange.not_run(Reason.DEADLINE)
         seq = self._next_seq()
-        start = _start(
-            link, seq, selection.target, request, remaining, required_health
+        start = _request_start(
+            connection,
+            seq,
+            selection.target,
+            request,
+            remaining,
+            required_health,
         )
         now = self._clock.monotonic()
         start = msgspec.structs.replace(
@@ -122,12 +130,12 @@
             start_within=start_by - now,
             exclusive=exclusive,
         )
-        to_boot = link.peer.boot
+        to_boot = connection.peer.boot
         try:
             async with asyncio.timeout(remaining + DEADLINE_GRACE):
                 if request.idempotent:
-                    return await link.send_request(start, request, sink)
-                return await self._ask_once(link, start, request, sink)
+                    return await connection.send_request(start, request, sink)
+                return await self._send_once(connection, start, request, sink)
         except TimeoutError:
             result = exchange.unknown(Reason.TIMEOUT)
         if request.idempotent or sink.has_started:
@@ -136,93 +144,111 @@
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
         return result
 
-    async def _ask_once(
+    async def _send_once(
         self,
-        link: peer_client.ClientConnection,
+        connection: peer_client.ClientConnection,
         start: messages.RequestStart,
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
-        """Sends what must not repeat; asks around where its path is silent.
+        """Sends a non-idempotent request and fences it if the connection fails.
 
-        Another process may still reach the guard, and the guard's word that
-        the request never starts lets it go elsewhere in time.
+        If the peer is unresponsive, other processes relay the fence request, as
+        they may still reach it.
         """
-        process = link.peer.name
-        answer = asyncio.create_task(link.send_request(start, request, sink))
-        silence = asyncio.create_task(link.unresponsive.wait())
+        process = connection.peer.name
+        response = asyncio.create_task(
+            connection.send_request(start, request, sink)
+        )
+        unresponsive = asyncio.create_task(connection.unresponsive.wait())
         try:
             await asyncio.wait(
-                (answer, silence), return_when=asyncio.FIRST_COMPLETED
+                (response, unresponsive), return_when=asyncio.FIRST_COMPLETED
             )
-            if not answer.done() and not sink.has_started:
-                around = self._fence_around(process, start.seq, link.peer.boot)
-                if await around and not sink.has_started:
+            if not response.done() and not sink.has_started:
+                fencing = self._fence_through_relays(
+                    process, start.seq, connection.peer.boot
+                )
+                if await fencing and not sink.has_started:
                     return exchange.not_run(Reason.FENCED)
-            result = await answer
+            result = await response
         finally:
-            silence.cancel()
-            answer.cancel()
+            unresponsive.cancel()
+            response.cancel()
         lost = result.ending.reason is Reason.PEER_LOST
         unknown = result.ending.outcome is Outcome.UNKNOWN
         if not (lost and unknown) or sink.has_started:
             return result
-        if await self._fence(process, start.seq, link.peer.boot):
+        if await self._fence(process, start.seq, connection.peer.boot):
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
         return result
 
     async def _fence(self, process: str, seq: int, to_boot: int) -> bool:
-        """Asks the guard for proof that a request never starts."""
+        """Fences a request at the target's process.
+
+        Returns:
+            Whether the request is proven never to run there.
+        """
         try:
-            link = await self._links.get(process)
+            connection = await self._connections.get(process)
         except errors.PeerUnreachable:
-            return await self._fence_around(process, seq, to_boot)
-        return await link.fence(self._boot, seq, to_boot)
-
-    async def _fence_around(self, process: str, seq: int, to_boot: int) -> bool:
-        """Asks the guard through others, as the own path is silent."""
-        names = self._links.connected_except(process)
-        chosen = self._rng.sample(names, min(MAX_RELAYS, len(names)))
-        asked = [self._relayed(name, process, seq, to_boot) for name in chosen]
-        for answer in asyncio.as_completed(asked):
-            if await answer:
-                _log.info("fenced_around", process=process, seq=seq)
+            return await self._fence_through_relays(process, seq, to_boot)
+        return await connection.fence(self._boot, seq, to_boot)
+
+    async def _fence_through_relays(
+        self, process: str, seq: int, to_boot: int
+    ) -> bool:
+        """Fences a request by way of other processes."""
+        candidates = self._connections.connected_except(process)
+        relays = self._rng.sample(candidates, min(MAX_RELAYS, len(candidates)))
+        requests = [
+            self._fence_through(name, process, seq, to_boot) for name in relays
+        ]
+        for response in asyncio.as_completed(requests):
+            if await response:
+                _log.info("fenced_through_relay", process=process, seq=seq)
                 return True
         return False
 
-    async def _relayed(
+    async def _fence_through(
         self, relay: str, process: str, seq: int, to_boot: int
     ) -> bool:
         try:
-            link = await self._links.get(relay)
+            connection = await self._connections.get(relay)
         except errors.PeerUnreachable:
             return False
-        return await link.fence(self._boot, seq, to_boot, process)
+        return await connection.fence(self._boot, seq, to_boot, process)
 
     async def relay_fence(self, fence: messages.FenceRequest) -> bool:
-        """Passes another entry's question on to a guard."""
+        """Handles a fence request of a peer, or forwards it to its process.
+
+        Returns:
+            Whether the request is proven never to run.
+        """
         if fence.forward_to == self._name:
-            own = fence.to_boot == self._boot
-            return own and self._local_targets.fence((fence.boot, fence.seq))
+            is_own_boot = fence.to_boot == self._boot
+            return is_own_boot and self._local_targets.fence(
+                (fence.boot, fence.seq)
+            )
         try:
-            link = await self._links.get(fence.forward_to)
+            connection = await self._connections.get(fence.forward_to)
         except errors.PeerUnreachable:
             return False
-        return await link.fence(fence.boot, fence.seq, fence.to_boot)
+        return await connection.fence(fence.boot, fence.seq, fence.to_boot)
 
 
-def _start(
-    link: peer_client.ClientConnection,
+def _request_start(
+    connection: peer_client.ClientConnection,
     seq: int,
     target: str,
     request: exchange.Request,
     remaining: float,
     required_health: admission.RequiredHealth,
 ) -> messages.RequestStart:
-    small = len(request.body.prefix) < MIN_DEFERRED_BODY_BYTES
-    complete = request.body.complete and small
+    is_small = len(request.body.prefix) < MIN_DEFERRED_BODY_BYTES
+    complete = request.body.complete and is_small
     return messages.RequestStart(
-        id=link.next_stream_id(),
+        id=connection.next_stream_id(),
         seq=seq,
         service=request.service,
         target=target,
@@ -232,7 +258,7 @@
         request_id=request.id,
         remaining=round(remaining, 4),
         idempotent=request.idempotent,
-        incarnation=link.incarnation,
+        incarnation=connection.incarnation,
         length=request.length,
         body=request.body.prefix if complete else b"",
         complete=complete,
--- a/forklift/shell/forwarding.py
+++ b/forklift/shell/forwarding.py
@@ -1,7 +1,8 @@
-"""Carries a request from its entry to a target: picks, sends, repeats, waits.
+"""Forwards requests to targets: selection, retries, hedging, deadlines.
 
-A request that no target may take now waits here, where every target is in
-reach, until one may or its time is up; then it gets its final answer at once.
+A request for which no target is available waits in the process that received
+it, as all targets are reachable from there. It is answered as soon as no target
+can serve it in time any more.
 """
 
 import asyncio
@@ -32,16 +33,23 @@
 Outcome = messages.Outcome
 Reason = messages.Reason
 
-# Seconds after which to come back when no target was free.
+# Retry-After, in seconds, if no target was available.
 RETRY_AFTER = 0.5
-# Part of the budget of repeats up to which second sends are made: the rest is
-# left to requests that failed.
+# Fraction of the retry budget that hedged requests may use; the rest is
+# reserved for retries of failed requests.
 HEDGE_BUDGET_FRACTION = 0.85
-_ENDLESS = shutdown.Deadlines(math.inf, math.inf, math.inf)
+_NO_DEADLINES = shutdown.Deadlines(math.inf, math.inf, math.inf)
 
 
 class Forwarder:
-    """Sends the requests of one entry."""
+    """Forwards the requests that this process receives from callers.
+
+    Attributes:
+        attempts: Number of attempts so far, retries and hedges included.
+        retries: Number of retries so far.
+        hedges: Number of hedged requests so far.
+        stop_deadlines: When requests must be answered, as this process stops.
+    """
 
     def __init__(
         self,
@@ -49,8 +57,8 @@
         boot: int,
         balancer: load_balancer.LoadBalancer,
         targets: local_targets.LocalTargets,
-        links: peer_connections.PeerConnections,
-        program,
+        connections: peer_connections.PeerConnections,
+        find_policy,
         clock,
         rng: random.Random,
         quarantine: quarantines.Quarantine | None = None,
@@ -60,21 +68,21 @@
         self.boot = boot
         self.balancer = balancer
         self.local_targets = targets
-        self.program = program
+        self.find_policy = find_policy
         self.clock = clock
         self.rng = rng
         self._seqs = itertools.count(1)
         self.dispatcher = dispatch.Dispatcher(
-            name, boot, links, targets, self.next_seq, clock, rng
+            name, boot, connections, targets, self.next_seq, clock, rng
         )
         self.attempts = 0
         self.retries = 0
         self.hedges = 0
-        self.stop_deadlines = _ENDLESS
+        self.stop_deadlines = _NO_DEADLINES
         self._in_flight: set[_ForwardedRequest] = set()
 
     def next_seq(self) -> int:
-        """A request number never used before in this boot."""
+        """Returns a sequence number that is unique in this boot."""
         return next(self._seqs)
 
     async def run(
@@ -83,33 +91,33 @@
         """Runs a request on a target of its service.
 
         Raises:
-            tcp_stream.ConnectionLost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink's connection is lost.
             asyncio.CancelledError: The caller gave up.
         """
-        passage = _ForwardedRequest(self, request, sink)
-        self._in_flight.add(passage)
+        forwarded = _ForwardedRequest(self, request, sink)
+        self._in_flight.add(forwarded)
         try:
-            return await passage.run()
+            return await forwarded.run()
         finally:
-            self._in_flight.discard(passage)
+            self._in_flight.discard(forwarded)
 
-    def set_stop_deadlines(self, bounds: shutdown.Deadlines) -> None:
-        """This process ends: every request has its answer before.
+    def set_stop_deadlines(self, deadlines: shutdown.Deadlines) -> None:
+        """Ensures that all requests are answered before this process stops.
 
-        What no target has by then is refused, which is true; what one has is
-        answered as unknown. Otherwise its caller would see a closed
-        connection.
+        By then, requests that were not sent to a target are rejected as not
+        run; the outcome of all others is reported as unknown. Otherwise their
+        callers would only see a closed connection.
 
         Args:
-            bounds: Until when each has its answer.
+            deadlines: When requests must be answered.
         """
-        self.stop_deadlines = bounds
-        for passage in self._in_flight:
-            passage.set_stop_deadlines(bounds)
+        self.stop_deadlines = deadlines
+        for forwarded in self._in_flight:
+            forwarded.set_stop_deadlines(deadlines)
 
 
 class _ForwardedRequest:
-    """One request, from its entry until its final result."""
+    """One request, from its arrival to its final result."""
 
     def __init__(
         self,
@@ -126,32 +134,32 @@
             request.deadline,
             process_exits_at=forwarder.stop_deadlines.reject_at,
         )
-        self._bounds = forwarder.stop_deadlines
-        self._until: asyncio.Timeout | None = None
-        # Whether a target may have it.
-        self._asking = False
-        # A whole answer that another target's may replace.
-        self._held: response_buffer.BufferedResponse | None = None
+        self._stop_deadlines = forwarder.stop_deadlines
+        self._timeout: asyncio.Timeout | None = None
+        # Whether an attempt is in flight.
+        self._is_dispatched = False
+        # A complete response that a retry may replace.
+        self._withheld: response_buffer.BufferedResponse | None = None
         self._claim = response_buffer.ResponseClaim()
 
     async def run(self) -> exchange.Result:
-        """Sends the request until it is answered or given up."""
+        """Returns the final result, after retries if necessary."""
         self._balancer.record_request(self._request.service, self._now())
-        result = await self._go_in_time()
-        if self._held is not None and not self._sink.has_started:
-            return await self._held.flush()
+        result = await self._run_until_stop()
+        if self._withheld is not None and not self._sink.has_started:
+            return await self._withheld.flush()
         if result.ending.outcome is not Outcome.ANSWERED:
-            self._tell_why()
+            self._log_failure()
         if (
             self._retry_state.possible_runs
             and result.ending.outcome is Outcome.NOT_RUN
         ):
-            # The last target refused it, but an earlier one may have run it.
+            # The last target rejected it, but an earlier one may have run it.
             return exchange.unknown(result.ending.reason)
-        return self._spread(result)
+        return self._add_jitter(result)
 
-    def _spread(self, result: exchange.Result) -> exchange.Result:
-        """Has callers that were refused together return one by one."""
+    def _add_jitter(self, result: exchange.Result) -> exchange.Result:
+        """Adds jitter to Retry-After, so that callers do not retry at once."""
         expected = result.ending.retry_after
         if not expected:
             return result
@@ -161,44 +169,50 @@
         ending = dataclasses.replace(result.ending, retry_after=after)
         return dataclasses.replace(result, ending=ending)
 
-    def set_stop_deadlines(self, bounds: shutdown.Deadlines) -> None:
-        """The process ends: this request must be over by then."""
-        self._bounds = bounds
-        self._retry_state.process_exits_at = bounds.reject_at
-        self._bound()
-
-    def _ask(self, asking: bool) -> None:
-        """Notes whether a target may have it: its bound is a later one."""
-        self._asking = asking
-        self._bound()
-
-    def _bound(self) -> None:
-        """Bounds the request by the end of this process, if that is known."""
-        bounds = self._bounds
-        by = bounds.resolve_at if self._asking else bounds.reject_at
-        if self._until is None or self._until.expired() or math.isinf(by):
+    def set_stop_deadlines(self, deadlines: shutdown.Deadlines) -> None:
+        """Sets when this request must be answered, as the process stops."""
+        self._stop_deadlines = deadlines
+        self._retry_state.process_exits_at = deadlines.reject_at
+        self._apply_stop_deadlines()
+
+    def _set_dispatched(self, is_dispatched: bool) -> None:
+        """Sets whether an attempt is in flight; its deadline is later."""
+        self._is_dispatched = is_dispatched
+        self._apply_stop_deadlines()
+
+    def _apply_stop_deadlines(self) -> None:
+        """Limits the request to the stop deadline, if there is one."""
+        deadlines = self._stop_deadlines
+        deadline = (
+            deadlines.resolve_at if self._is_dispatched else deadlines.reject_at
+        )
+        if (
+            self._timeout is None
+            or self._timeout.expired()
+            or math.isinf(deadline)
+        ):
             return
-        self._until.reschedule(self._loop_time(by))
+        self._timeout.reschedule(self._loop_time(deadline))
 
-    async def _go_in_time(self) -> exchange.Result:
-        """Goes over targets, at most until this process ends."""
+    async def _run_until_stop(self) -> exchange.Result:
+        """Runs attempts until there is a result or the stop deadline."""
         try:
-            async with asyncio.timeout_at(None) as self._until:
-                self._bound()
-                return await self._go()
+            async with asyncio.timeout_at(None) as self._timeout:
+                self._apply_stop_deadlines()
+                return await self._run_attempts()
         except TimeoutError:
-            if self._asking or self._retry_state.possible_runs:
+            if self._is_dispatched or self._retry_state.possible_runs:
                 return exchange.unknown(Reason.DRAINING)
             return exchange.not_run(Reason.DRAINING, RETRY_AFTER)
         finally:
-            self._until = None
+            self._timeout = None
 
     def _loop_time(self, when: float) -> float:
-        """A time of the clock as the loop counts it."""
+        """Converts monotonic seconds to the time of the event loop."""
         return asyncio.get_running_loop().time() + when - self._now()
 
-    def _tell_why(self) -> None:
-        """Logs what a request met on its way before it was given up."""
+    def _log_failure(self) -> None:
+        """Logs why the request failed."""
         retry_state, service = self._retry_state, self._request.service
         _log.info(
             "given_up",
@@ -216,87 +230,88 @@
         return self._forwarder.clock.monotonic()
 
     @property
-    def _program(self) -> policy.ServicePolicy:
-        return self._forwarder.program(self._request.service)
+    def _policy(self) -> policy.ServicePolicy:
+        return self._forwarder.find_policy(self._request.service)
 
     @property
-    def _usual(self) -> latency.Distribution:
-        """How long requests of its route take."""
+    def _distribution(self) -> latency.Distribution:
+        """Latency distribution of the route."""
         route = self._request.route
         return self._balancer.latencies.for_route(route, self._objective)
 
     @property
     def _objective(self) -> float:
-        """Seconds within which an answer has its full worth."""
+        """Latency objective, in seconds."""
         return self._request.soft_deadline - self._retry_state.started
 
     @property
     def _start_by(self) -> float:
         return self._retry_state.start_by(
-            self._usual, self._request.soft_deadline
+            self._distribution, self._request.soft_deadline
         )
 
     @property
     def _kilobytes(self) -> float:
-        """Size of the request and of its answer, as far as known."""
+        """Expected size of the request and its response, in kilobytes."""
         request = self._request
         sent = max(request.length, len(request.body.prefix))
         return (
             sent + self._balancer.response_sizes.mean_bytes(request.route)
         ) / 1024
 
-    def _held_for(self) -> float:
-        """Seconds for which it is held back, as it crashes targets."""
+    def _quarantined_for(self) -> float:
+        """Returns the seconds for which the request is quarantined."""
         fingerprint = self._request.fingerprint
         return self._forwarder.quarantine.quarantined_for(
             fingerprint, self._now()
         )
 
     @property
-    def _alone(self) -> bool:
-        """Whether it runs only where nothing else does."""
+    def _exclusive(self) -> bool:
+        """Whether it may only run while its target runs nothing else."""
         fingerprint = self._request.fingerprint
         quarantine = self._forwarder.quarantine
         suspect = quarantine.is_suspected(fingerprint, self._now())
         return suspect or self._retry_state.exclusive
 
     @property
-    def _again(self) -> bool:
-        """Whether the request can still be sent from its start."""
+    def _can_resend(self) -> bool:
+        """Whether the request can be sent again from its start."""
         return self._request.body.replayable and not self._sink.has_started
 
-    async def _go(self) -> exchange.Result:
+    async def _run_attempts(self) -> exchange.Result:
         result = exchange.not_run(Reason.NO_TARGET, RETRY_AFTER)
-        aim = self._request.soft_deadline
+        soft_deadline = self._request.soft_deadline
         while not self._retry_state.should_give_up(
-            self._usual, aim, self._now()
+            self._distribution, soft_deadline, self._now()
         ):
-            held = self._held_for()
-            if held:
-                return exchange.not_run(Reason.QUARANTINED, held)
-            selection = self._choose()
+            quarantined_for = self._quarantined_for()
+            if quarantined_for:
+                return exchange.not_run(Reason.QUARANTINED, quarantined_for)
+            selection = self._select()
             if selection is None:
-                if self._held is not None:
-                    # A repeat that no target takes now has an answer already.
+                if self._withheld is not None:
+                    # No target can run the retry; the withheld response is
+                    # returned.
                     return result
                 if not self._retry_state.relax_requirements():
                     await asyncio.sleep(self._retry_state.next_poll_delay())
                 continue
-            if not self._pay():
+            if not self._charge_budget():
                 service = self._request.service
                 self._balancer.finish_attempt(
                     service, selection, None, self._now()
                 )
                 return result
-            self._ask(True)
-            tried = await self._send(selection)
-            self._ask(False)
-            result = tried.result
-            if not self._goes_on(tried):
+            self._set_dispatched(True)
+            attempt = await self._send(selection)
+            self._set_dispatched(False)
+            result = attempt.result
+            if not self._should_retry(attempt):
                 return result
         return result
 
-    def _choose(self) -> load_balancer.Selection | None:
+    def _select(self) -> load_balancer.Selection | None:
         retry_state, now = self._retry_state, self._now()
         requirements = load_balancer.Requirements(
             self._request.service,
@@ -312,8 +327,12 @@
         )
         return self._balancer.select(requirements, tried, now, refused)
 
-    def _pay(self) -> bool:
-        """Whether it may be sent: the first time free, then by the budget."""
+    def _charge_budget(self) -> bool:
+        """Charges a retry to the budget; the first attempt is free.
+
+        Returns:
+            Whether the request may be sent.
+        """
         retry_state = self._retry_state
         if retry_state.attempts == 0 or retry_state.budget_charged:
             return True
@@ -324,26 +343,30 @@
         )
         return retry_state.budget_charged
 
-    # What became of an attempt.
+    # Results of attempts.
+
+    def _should_retry(self, attempt: hedging.AttemptResult) -> bool:
+        """Records the result of an attempt.
 
-    def _goes_on(self, tried: hedging.AttemptResult) -> bool:
-        """Takes note of an attempt; whether another target is tried."""
-        ending, target = tried.result.ending, tried.selection.target
+        Returns:
+            Whether to send the request to another target.
+        """
+        ending, target = attempt.result.ending, attempt.selection.target
         if ending.outcome is Outcome.NOT_RUN:
             self._retry_state.record_not_run(target, ending.reason)
-            return self._again and not self._retry_state.exhausted
+            return self._can_resend and not self._retry_state.exhausted
         self._retry_state.record_run(target, ending.reason)
-        self._note_failure(ending)
+        self._record_failure(ending)
         if not self._request.idempotent:
             invariants.at_most_once(
                 self._retry_state.possible_runs, self._request.id
             )
             return False
-        if not self._again or not self._worth_repeating(ending):
+        if not self._can_resend or not self._policy_allows_retry(ending):
             return False
         self._forwarder.retries += 1
         _log.info(
-            "repeat",
+            "retry",
             request=self._request.id,
             target=target,
             reason=str(ending.reason or ending.status),
@@ -351,15 +374,15 @@
         )
         return True
 
-    def _note_failure(self, ending: exchange.Ending) -> None:
-        answered = ending.outcome is Outcome.ANSWERED
-        if not answered or self._program.is_failure(ending.status):
+    def _record_failure(self, ending: exchange.Ending) -> None:
+        is_response = ending.outcome is Outcome.ANSWERED
+        if not is_response or self._policy.is_failure(ending.status):
             self._balancer.record_failure(self._request.service, self._now())
 
-    def _worth_repeating(self, ending: exchange.Ending) -> bool:
+    def _policy_allows_retry(self, ending: exchange.Ending) -> bool:
         request = self._request
         return bool(
-            self._program.retry.evaluate(
+            self._policy.retry.evaluate(
                 attempt=self._retry_state.attempts,
                 status=ending.status,
                 outcome=str(ending.outcome),
@@ -370,96 +393,110 @@
             )
         )
 
-    # One attempt, or two beside each other.
+    # Attempts and hedging.
 
     async def _send(
         self, first: load_balancer.Selection
     ) -> hedging.AttemptResult:
-        """Makes an attempt, and a second beside it where it takes long."""
-        race = hedging.HedgedRequest(
-            self._claim, self._begin, self._second, self._goes_on
+        """Makes an attempt, and hedges it if it is slow."""
+        hedged = hedging.HedgedRequest(
+            self._claim,
+            self._start_attempt,
+            self._select_hedge,
+            self._should_retry,
         )
-        return await race.run(first, self._patience())
+        return await hedged.run(first, self._hedge_delay())
 
-    def _begin(
-        self, selection: load_balancer.Selection, second: bool
+    def _start_attempt(
+        self, selection: load_balancer.Selection, is_hedge: bool
     ) -> hedging.Attempt:
-        # Tells answers that another target may replace.
+        # Failed responses are withheld if the request can be retried.
         is_failure = None
         if self._request.idempotent and self._request.body.replayable:
-            is_failure = self._program.is_failure
+            is_failure = self._policy.is_failure
         buffered = response_buffer.BufferedResponse(
             self._sink, is_failure, self._claim
         )
-        task = asyncio.create_task(self._attempt(selection, buffered, second))
+        task = asyncio.create_task(
+            self._run_attempt(selection, buffered, is_hedge)
+        )
         return hedging.Attempt(selection, buffered, task)
 
-    def _patience(self) -> float | None:
-        """Seconds until a second attempt; None where there is none."""
+    def _hedge_delay(self) -> float | None:
+        """Returns the seconds until the hedged request; None for no hedge."""
         request = self._request
-        once = not request.idempotent or not request.body.replayable
-        if once or self._retry_state.attempts + 2 > request.attempts:
+        only_once = not request.idempotent or not request.body.replayable
+        if only_once or self._retry_state.attempts + 2 > request.attempts:
             return None
-        if self._alone:
-            # A second target is not put at risk beside the first.
+        if self._exclusive:
+            # A suspected request must not put a second target at risk.
             return None
         return self._retry_state.hedge_delay(
-            self._usual, request.soft_deadline, self._now()
+            self._distribution, request.soft_deadline, self._now()
         )
 
-    def _second(
-        self, first: load_balancer.Selection, under_way: int
+    def _select_hedge(
+        self, first: load_balancer.Selection, in_flight: int
     ) -> load_balancer.Selection | None:
-        """A free, sound target for a second attempt, if one may be made."""
+        """Selects a target for a hedged request.
+
+        Args:
+            first: Target of the first attempt.
+            in_flight: Number of attempts in flight.
+
+        Returns:
+            The target; None if none is healthy and free, or if the retry
+            budget is used up.
+        """
         if (
-            self._alone
-            or self._retry_state.attempts + under_way >= self._request.attempts
+            self._exclusive
+            or self._retry_state.attempts + in_flight >= self._request.attempts
         ):
             return None
         service, now = self._request.service, self._now()
         requirements = load_balancer.Requirements(
             service, True, allows_trial=False, kilobytes=self._kilobytes
         )
-        passed = frozenset(self._retry_state.tried | {first.target})
+        excluded = frozenset(self._retry_state.tried | {first.target})
         refused = frozenset(self._retry_state.refused)
-        second = self._balancer.select(requirements, passed, now, refused)
-        if second is None:
+        hedge = self._balancer.select(requirements, excluded, now, refused)
+        if hedge is None:
             return None
         if not self._retry_state.budget_charged:
             self._retry_state.budget_charged = self._balancer.spend_retry(
                 service, now, HEDGE_BUDGET_FRACTION, self._objective
             )
         if not self._retry_state.budget_charged:
-            self._balancer.finish_attempt(service, second, None, now)
+            self._balancer.finish_attempt(service, hedge, None, now)
             return None
         self._forwarder.hedges += 1
         _log.info(
             "hedge",
             request=self._request.id,
             target=first.target,
-            second=second.target,
+            second=hedge.target,
             seconds=round(now - self._retry_state.started, 3),
-            usual=round(self._usual.median, 4),
+            usual=round(self._distribution.median, 4),
         )
-        return second
+        return hedge
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         selection: load_balancer.Selection,
         buffered: response_buffer.BufferedResponse,
-        second: bool,
+        is_hedge: bool,
     ) -> exchange.Result:
         self._forwarder.attempts += 1
         required_health = max(
             self._retry_state.required_health(self._now()),
             selection.required_health,
         )
-        # One that goes beside another need not start as soon.
-        start_by = math.inf if second else self._start_by
+        # The first attempt is still running, so a hedge has no latest start.
+        start_by = math.inf if is_hedge else self._start_by
         result = None
         try:
             if selection.process == self._forwarder.name:
-                result = await self._run_here(
+                result = await self._run_locally(
                     selection, buffered, required_health, start_by
                 )
             else:
@@ -470,13 +507,13 @@
                     required_health,
                     self._retry_state.wait,
                     start_by,
-                    self._alone,
+                    self._exclusive,
                 )
             return result
         finally:
-            # Also where this process ends while it waits for its turn.
+            # This also runs if the attempt is cancelled as the process stops.
             if buffered.is_withheld:
-                self._held = buffered
+                self._withheld = buffered
             if not buffered.has_started:
                 self._claim.release(buffered)
             load = result.load if result is not None else None
@@ -486,10 +523,10 @@
                 )
             service = self._request.service
             self._balancer.finish_attempt(
-                service, selection, load, self._now(), self._usual
+                service, selection, load, self._now(), self._distribution
             )
 
-    async def _run_here(
+    async def _run_locally(
         self,
         selection: load_balancer.Selection,
         sink: exchange.Sink,
@@ -507,7 +544,7 @@
             request.route,
             self._retry_state.wait,
             start_by,
-            self._alone,
+            self._exclusive,
         )
         return await self._forwarder.local_targets.run(
             selection.target, ticket, request, sink
--- a/forklift/shell/health_probe.py
+++ b/forklift/shell/health_probe.py
@@ -1,4 +1,4 @@
-"""Asks the health endpoint of a target; a hint only, as it may lie."""
+"""Probes the health endpoint of a target."""
 
 import asyncio
 import dataclasses
@@ -14,22 +14,22 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds for the whole question: a target beside answers within milliseconds,
-# and its next heartbeat comes soon anyway.
+# Timeout of a probe, in seconds. A failed probe does little harm, as the next
+# heartbeat of the target follows soon.
 PROBE_TIMEOUT = 1.0
 _NAME = re.compile(rb"[!-~]{1,200}")
-# Requests that run and that wait, and slots.
+# Load field: running requests, waiting requests, slots.
 _LOAD = re.compile(rb"\s*\d+\s*,\s*\d+\s*,\s*(\d{1,6})\s*")
 
 
 @dataclasses.dataclass(frozen=True)
 class ProbeResult:
-    """What a target's health endpoint said.
+    """Response of a health endpoint.
 
     Attributes:
-        well: Whether it calls itself healthy and is not leaving.
-        target: Name that it gave itself, empty where it gave none.
-        slots: Requests that it runs at once; 0 where it told none.
+        healthy: Whether the target reports that it is healthy and not leaving.
+        target: Name that it reports; empty if there is no valid one.
+        slots: Concurrent requests that it can run; 0 if not reported.
     """
 
     healthy: bool
@@ -40,16 +40,20 @@
 async def check(
     address: str, path: str, header_names: header_fields.HeaderNames
 ) -> ProbeResult | None:
-    """Asks a health endpoint; a hint only, as it may lie.
+    """Probes a health endpoint.
+
+    The result is only a hint, as the target may report wrong values.
 
     Returns:
-        What it said; None where there was no answer.
+        The response; None if the probe failed.
     """
     connection = None
     try:
         async with asyncio.timeout(PROBE_TIMEOUT):
             connection = await tcp_stream.connect(address)
-            return await _ask(connection, address, path, header_names)
+            return await _request_health(
+                connection, address, path, header_names
+            )
     except (OSError, TimeoutError, h11.ProtocolError) as error:
         _log.info("probe_failed", address=address, detail=repr(error))
         return None
@@ -58,7 +62,7 @@
             connection.abort()
 
 
-async def _ask(
+async def _request_health(
     connection: tcp_stream.Connection,
     address: str,
     path: str,
@@ -74,19 +78,19 @@
         if event is h11.NEED_DATA:
             protocol.receive_data(await connection.read())
         elif isinstance(event, h11.Response):
-            return _health(event, header_names)
+            return _parse_response(event, header_names)
         elif isinstance(event, h11.ConnectionClosed):
             return None
 
 
-def _health(
+def _parse_response(
     response: h11.Response, header_names: header_fields.HeaderNames
 ) -> ProbeResult:
     headers = http.fields(response)
     name = http.value(headers, header_names.target) or b""
     if not _NAME.fullmatch(name):
         invalid_input.record(
-            invalid_input.Source.HEALTH, "it gives itself no name"
+            invalid_input.Source.HEALTH, "no valid target name in the response"
         )
         name = b""
     load = _LOAD.fullmatch(http.value(headers, header_names.load) or b"")
--- a/forklift/shell/hedging.py
+++ b/forklift/shell/hedging.py
@@ -1,8 +1,7 @@
-"""Attempts of one request beside each other: the first good answer counts.
+"""Hedged requests: concurrent attempts; the first good response is used.
 
-A target may be slow, or silent, and the request is late or lost if it waits
-for it. So a second attempt follows where the first takes long, and the one that
-does not answer is cancelled.
+A target may be slow or unresponsive. If the first attempt is slow, a second
+target is sent the same request, and the slower attempt is cancelled.
 """
 
 import asyncio
@@ -14,19 +13,19 @@
 from forklift.shell import exchange
 from forklift.shell import response_buffer
 
-# Seconds until a second attempt is tried again where no sound target was free
-# or the budget was used up: a slot is free again within about that time.
+# Seconds until hedging is tried again, after no healthy target was free or the
+# retry budget was used up.
 HEDGE_RETRY_DELAY = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
 class Attempt:
-    """A request under way to one target.
+    """An attempt that is in flight.
 
     Attributes:
         selection: The target.
-        buffered: What holds its answer.
-        task: What waits for its end.
+        buffered: Its response.
+        task: Task that returns its result.
     """
 
     selection: load_balancer.Selection
@@ -36,85 +35,92 @@
 
 @dataclasses.dataclass(frozen=True)
 class AttemptResult:
-    """An attempt that is over."""
+    """The result of an attempt."""
 
     selection: load_balancer.Selection
     result: exchange.Result
 
 
 class HedgedRequest:
-    """The attempts of one request that are under way."""
+    """The concurrent attempts of one request."""
 
     def __init__(
         self,
         claim: response_buffer.ResponseClaim,
-        begin: Callable[[load_balancer.Selection, bool], Attempt],
-        second: Callable[
+        start_attempt: Callable[[load_balancer.Selection, bool], Attempt],
+        select_hedge: Callable[
             [load_balancer.Selection, int], load_balancer.Selection | None
         ],
-        note: Callable[[AttemptResult], object],
+        record_failure: Callable[[AttemptResult], object],
     ):
-        """Makes a race without attempts.
+        """Initializes a request without attempts.
 
         Args:
-            claim: The right to answer.
-            begin: Begins an attempt at a target; whether it is a second one.
-            second: Picks a target for a second attempt beside the first, by
-                how many are under way; None where none may be made now.
-            note: Takes note of an attempt that failed while another goes on.
+            claim: Determines which attempt may respond to the caller.
+            start_attempt: Starts an attempt, by its target and whether it is
+                a hedge.
+            select_hedge: Selects the target of a hedge, by the first target
+                and the number of attempts in flight; None if no hedge is
+                possible now.
+            record_failure: Called with the result of an attempt that failed
+                while another one is in flight.
         """
         self._claim = claim
-        self._begin = begin
-        self._second = second
-        self._note = note
+        self._start_attempt = start_attempt
+        self._select_hedge = select_hedge
+        self._record_failure = record_failure
         self._attempt_by_task: dict[asyncio.Task, Attempt] = {}
 
     async def run(
-        self, first: load_balancer.Selection, patience: float | None
+        self, first: load_balancer.Selection, delay: float | None
     ) -> AttemptResult:
-        """Waits for the attempt that answers, or for the last to fail.
+        """Returns the attempt that responded, or else the last to fail.
 
         Args:
-            first: The first target.
-            patience: Seconds until a second attempt; None for none.
+            first: Target of the first attempt.
+            delay: Seconds until the request is hedged; None for no hedge.
         """
-        self._add(self._begin(first, False))
+        self._add(self._start_attempt(first, False))
         try:
             while True:
                 done, _ = await asyncio.wait(
                     self._attempt_by_task,
-                    timeout=patience,
+                    timeout=delay,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if not done:
-                    patience = self._hedge(first)
+                    delay = self._try_hedge(first)
                     continue
                 attempt = self._attempt_by_task.pop(done.pop())
-                tried = AttemptResult(attempt.selection, attempt.task.result())
-                answers = self._claim.owner is attempt.buffered
-                if answers or not self._attempt_by_task:
-                    return tried
-                self._note(tried)
-                ending = tried.result.ending
+                ended = AttemptResult(attempt.selection, attempt.task.result())
+                has_responded = self._claim.owner is attempt.buffered
+                if has_responded or not self._attempt_by_task:
+                    return ended
+                self._record_failure(ended)
+                ending = ended.result.ending
                 if ending.outcome is messages.Outcome.NOT_RUN:
-                    patience = HEDGE_RETRY_DELAY
+                    delay = HEDGE_RETRY_DELAY
         finally:
-            await self._cancel()
+            await self._cancel_attempts()
 
     def _add(self, attempt: Attempt) -> None:
         self._attempt_by_task[attempt.task] = attempt
 
-    def _hedge(self, first: load_balancer.Selection) -> float | None:
-        """Begins a second attempt; seconds until the next look, if any."""
+    def _try_hedge(self, first: load_balancer.Selection) -> float | None:
+        """Starts a hedge if possible.
+
+        Returns:
+            Seconds until the next try; None for no further one.
+        """
         if self._claim.owner is not None:
             return None
-        second = self._second(first, len(self._attempt_by_task))
-        if second is None:
+        hedge = self._select_hedge(first, len(self._attempt_by_task))
+        if hedge is None:
             return HEDGE_RETRY_DELAY
-        self._add(self._begin(second, True))
+        self._add(self._start_attempt(hedge, True))
         return None
 
-    async def _cancel(self) -> None:
+    async def _cancel_attempts(self) -> None:
         for task in self._attempt_by_task:
             task.cancel()
         await asyncio.gather(*self._attempt_by_task, return_exceptions=True)
--- a/forklift/shell/local_targets.py
+++ b/forklift/shell/local_targets.py
@@ -1,4 +1,4 @@
-"""Runs requests on the targets beside this process, as their gates decide."""
+"""Runs requests on the targets of this instance, after admission control."""
 
 import asyncio
 import dataclasses
@@ -23,9 +23,9 @@
 Reason = messages.Reason
 Signal = health.Signal
 
-# Of the identity of a crash: two are never the same in a fleet.
+# Size of a random crash ID, which is unique in the fleet.
 _CRASH_BITS = 63
-_SIGN_BY_REASON = {
+_SIGNAL_BY_REASON = {
     Reason.CONNECT_FAILED: Signal.UNREACHABLE,
     Reason.SHED: Signal.SHED,
 }
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class LocalTarget:
-    """One life of a target beside this process, and the way to it.
+    """One incarnation of a target of this instance.
 
     Attributes:
-        target: The name that the target gives itself; its gate has that of
-            its life.
-        controller: Admits its requests.
-        pool: Its connections.
-        candidates: What it was given and did not answer.
+        target: Name that the target reports; the name of the admission
+            controller is that of the incarnation.
+        controller: Admission controller of the target.
+        pool: Connections to the target.
+        candidates: Requests that a crash of the target may be blamed on.
     """
 
     target: str
@@ -51,16 +51,16 @@
     )
 
 
-class _Leaving:
-    """The sink of a request that may outlive its sender.
+class _DetachableSink:
+    """Sink of a request that may outlive its sender.
 
-    Once the sender is gone its answer is read to the end and dropped: how it
-    ended still tells of the target, and its connection can be used again.
+    Once the sender is gone, the response is read to its end and discarded, so
+    that its result is recorded and the connection can be reused.
     """
 
     def __init__(self, sink: exchange.Sink):
         self._sink = sink
-        self.gone = False
+        self.is_detached = False
 
     @property
     def has_started(self) -> bool:
@@ -69,44 +69,50 @@
 
     async def start(self, head: exchange.Head) -> None:
         """See `exchange.Sink`."""
-        if not self.gone:
+        if not self.is_detached:
             await self._sink.start(head)
 
-    async def data(self, piece: bytes) -> None:
+    async def data(self, chunk: bytes) -> None:
         """See `exchange.Sink`."""
-        if not self.gone:
-            await self._sink.data(piece)
+        if not self.is_detached:
+            await self._sink.data(chunk)
 
     async def end(self) -> None:
         """See `exchange.Sink`."""
-        if not self.gone:
+        if not self.is_detached:
             await self._sink.end()
 
 
 class LocalTargets:
-    """The asyncio side of the gates."""
+    """Runs requests on local targets, by the decisions of their controllers.
+
+    Attributes:
+        by_name: Targets, by the name of the incarnation.
+        fences: Which requests have started or must never start.
+        running: Number of requests that run or wait for a slot.
+    """
 
     def __init__(
         self,
         header_names: header_fields.HeaderNames,
-        program,
+        find_policy,
         clock,
         on_change,
-        failing=lambda service, now: 0,
+        failure_percent=lambda service, now: 0,
         quarantine: quarantines.Quarantine | None = None,
         on_evidence=lambda: None,
     ):
         self._header_names = header_names
-        self._program = program
+        self._find_policy = find_policy
         self._clock = clock
         self._on_change = on_change
-        self._failing = failing
+        self._failure_percent = failure_percent
         self._quarantine = quarantine or quarantines.Quarantine()
         self._on_evidence = on_evidence
         self.by_name: dict[str, LocalTarget] = {}
         self.fences = fences.Fences()
-        # Names that targets had before the time of their birth was told.
-        self._name_by_earlier: dict[str, str] = {}
+        # Current names, by the names before the start times were known.
+        self._name_by_previous: dict[str, str] = {}
         self._decision_by_id: dict[object, asyncio.Future] = {}
         self._detached: set[asyncio.Task] = set()
         self.running = 0
@@ -114,39 +120,39 @@
     # Targets.
 
     def add(self, name: str, local_target: LocalTarget) -> None:
-        """A target is there."""
+        """Adds a target."""
         self.by_name[name] = local_target
 
-    def rename(self, before: str, name: str) -> None:
-        """The name of a target's life is known now; it goes on as it was.
+    def rename(self, previous: str, name: str) -> None:
+        """Renames a target once the name of its incarnation is known.
 
-        Others ask for it by the earlier one until they have heard.
+        Peers use the previous name until they are informed.
         """
-        local_target = self.by_name.pop(before)
+        local_target = self.by_name.pop(previous)
         local_target.controller.name = name
         self.by_name[name] = local_target
-        self._name_by_earlier = {before: name}
+        self._name_by_previous = {previous: name}
 
     def drain(self, name: str) -> None:
-        """A target takes no new request from now on."""
+        """Stops sending new requests to a target."""
         local_target = self.by_name[name]
-        self._settle(local_target, local_target.controller.drain())
+        self._apply_decisions(local_target, local_target.controller.drain())
 
     def pause(self, name: str) -> None:
-        """This process stops: a target takes no new request through it."""
+        """Stops sending new requests to a target, as this process stops."""
         local_target = self.by_name[name]
-        self._settle(local_target, local_target.controller.pause())
+        self._apply_decisions(local_target, local_target.controller.pause())
 
     def leave(self, name: str) -> None:
-        """A target is gone."""
+        """Handles that a target is gone."""
         local_target = self.by_name[name]
-        self._settle(local_target, local_target.controller.leave())
+        self._apply_decisions(local_target, local_target.controller.leave())
 
     def tick(self, now: float) -> None:
-        """Lets time pass for every target."""
+        """Runs the periodic work of all admission controllers."""
         for local_target in self.by_name.values():
             version = local_target.controller.version
-            self._settle(
+            self._apply_decisions(
                 local_target, local_target.controller.tick(now), version
             )
 
@@ -159,60 +165,66 @@
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
-        """Runs a request if its gate lets it, and passes its answer on.
+        """Runs a request if it is admitted, and forwards the response.
 
-        A request that must not repeat, once it runs, runs to its end even if
-        its sender is gone: breaking it off would save nothing.
+        A non-idempotent request that has started runs to its end even if its
+        sender is gone, as cancelling it would not undo its effects.
 
         Raises:
             asyncio.CancelledError: The sender gave up.
-            tcp_stream.ConnectionLost: The sink is gone.
+            tcp_stream.ConnectionLost: The sink's connection is lost.
         """
-        name = self._name_by_earlier.get(target, target)
+        name = self._name_by_previous.get(target, target)
         local_target = self.by_name.get(name)
         if local_target is None:
             return exchange.not_run(Reason.UNKNOWN_TARGET)
         if not self.fences.may_start(ticket.id):
-            return self._fenced(ticket)
+            return self._fenced_result(ticket)
         now = self._clock.monotonic()
         fingerprint = request.fingerprint
-        held = self._quarantine.quarantined_for(fingerprint, now)
-        if held:
-            return exchange.not_run(Reason.QUARANTINED, held)
+        quarantined_for = self._quarantine.quarantined_for(fingerprint, now)
+        if quarantined_for:
+            return exchange.not_run(Reason.QUARANTINED, quarantined_for)
         if self._quarantine.is_suspected(fingerprint, now):
             ticket = dataclasses.replace(ticket, exclusive=True)
         if ticket.idempotent:
-            return await self._admitted(local_target, ticket, request, sink)
-        kept = _Leaving(sink)
+            return await self._admit_and_run(
+                local_target, ticket, request, sink
+            )
+        detachable = _DetachableSink(sink)
         task = asyncio.create_task(
-            self._admitted(local_target, ticket, request, kept)
+            self._admit_and_run(local_target, ticket, request, detachable)
         )
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
             if self.fences.has_started(ticket.id):
-                kept.gone = True
+                detachable.is_detached = True
                 self._detached.add(task)
-                task.add_done_callback(self._forget)
+                task.add_done_callback(self._on_detached_done)
             else:
                 task.cancel()
             raise
 
-    def fence(self, identity: fences.RequestKey) -> bool:
-        """Forbids a start; True when it is proven never to run."""
-        return self.fences.fence(identity, self._clock.monotonic())
+    def fence(self, key: fences.RequestKey) -> bool:
+        """Prevents a request from starting.
 
-    def _forget(self, task: asyncio.Task) -> None:
+        Returns:
+            Whether the request is proven never to run.
+        """
+        return self.fences.fence(key, self._clock.monotonic())
+
+    def _on_detached_done(self, task: asyncio.Task) -> None:
         self._detached.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            _log.info("detached_ended", detail=repr(task.exception()))
+            _log.info("detached_request_failed", detail=repr(task.exception()))
 
-    def _fenced(self, ticket: admission.Ticket) -> exchange.Result:
+    def _fenced_result(self, ticket: admission.Ticket) -> exchange.Result:
         if self.fences.has_started(ticket.id):
             return exchange.unknown(Reason.FENCED)
         return exchange.not_run(Reason.FENCED)
 
-    async def _admitted(
+    async def _admit_and_run(
         self,
         local_target: LocalTarget,
         ticket: admission.Ticket,
@@ -232,7 +244,7 @@
                 return exchange.not_run(
                     decision.reason, decision.retry_after, load
                 )
-            return await self._started(local_target, ticket, request, sink)
+            return await self._run_admitted(local_target, ticket, request, sink)
         finally:
             self.running -= 1
 
@@ -252,7 +264,7 @@
         finally:
             self._decision_by_id.pop(ticket.id, None)
 
-    async def _started(
+    async def _run_admitted(
         self,
         local_target: LocalTarget,
         ticket: admission.Ticket,
@@ -267,67 +279,70 @@
             self._header_names,
             self._clock.monotonic,
         )
-        sign: Signal | None = None
-        exposed = local_target.candidates
+        signal: Signal | None = None
+        candidates = local_target.candidates
         try:
             remaining = ticket.deadline - self._clock.monotonic()
             async with asyncio.timeout(max(0.0, remaining)):
                 status = await run.execute(
-                    lambda: self._launch(
+                    lambda: self._try_start(
                         local_target, ticket, request.fingerprint
                     ),
                     lambda: self._load(local_target, request.route),
                     sink,
                 )
-            exposed.discard(ticket.id)
-            sign = self._sign(local_target.controller.service, status)
-            if sign is Signal.WELL:
-                # In a bad phase it may fail what would crash it otherwise.
-                self._served(request.fingerprint)
+            candidates.discard(ticket.id)
+            signal = self._signal(local_target.controller.service, status)
+            if signal is Signal.WELL:
+                # Error responses do not count: a target that is unhealthy may
+                # fail a request early that would crash it otherwise.
+                self._record_success(request.fingerprint)
             result = exchange.answered(status, local_target.controller.name)
         except connection_pool.NotRun as error:
-            exposed.discard(ticket.id)
+            candidates.discard(ticket.id)
             if isinstance(error.__cause__, ConnectionRefusedError):
                 self.handle_crash(local_target)
-            sign = _SIGN_BY_REASON.get(error.reason)
+            signal = _SIGNAL_BY_REASON.get(error.reason)
             now = self._clock.monotonic()
-            held = self._quarantine.quarantined_for(request.fingerprint, now)
-            result = exchange.not_run(error.reason, held)
+            quarantined_for = self._quarantine.quarantined_for(
+                request.fingerprint, now
+            )
+            result = exchange.not_run(error.reason, quarantined_for)
         except upstream.IncompleteResponse as error:
-            sign = Signal.BROKEN
+            signal = Signal.BROKEN
             reason = error.reason
-            exposed.mark_ended(ticket.id, self._clock.monotonic())
-            if reason is Reason.TARGET_BROKE and await self._ended(
+            candidates.mark_ended(ticket.id, self._clock.monotonic())
+            if reason is Reason.TARGET_BROKE and await self._has_crashed(
                 local_target, ticket
             ):
                 reason = Reason.TARGET_CRASHED
             result = exchange.unknown(reason)
             _log.warning(
-                "answer_broken",
+                "response_incomplete",
                 request=request.id,
                 target=local_target.controller.name,
                 reason=str(reason),
                 detail=str(error),
             )
         except TimeoutError:
-            # That it was late was noted while it ran.
-            result = self._timed_out(ticket)
+            # While it ran, the health check already recorded that it was late.
+            result = self._timeout_result(ticket)
         finally:
-            exposed.mark_ended(ticket.id, self._clock.monotonic())
-            self._finish(local_target, ticket, sign)
+            candidates.mark_ended(ticket.id, self._clock.monotonic())
+            self._finish(local_target, ticket, signal)
         return dataclasses.replace(
             result, load=self._load(local_target, request.route)
         )
 
-    async def _ended(
+    async def _has_crashed(
         self, local_target: LocalTarget, ticket: admission.Ticket
     ) -> bool:
-        """Whether a target whose answer broke off has ended.
+        """Returns whether a target crashed after an incomplete response.
 
-        Most that break answers off live on.
+        Most targets keep running after one.
         """
         if not local_target.candidates.contains(ticket.id):
-            # Another request that it ran found out already.
+            # Another request has already detected the crash.
             return True
         if (
             await local_target.pool.is_refusing()
@@ -337,7 +352,11 @@
         return not local_target.candidates.contains(ticket.id)
 
     def handle_crash(self, local_target: LocalTarget) -> None:
-        """A target ended; unless it said before that it leaves, it crashed."""
+        """Handles that a target exited.
+
+        Unless it announced that it is leaving, this is a crash, and its
+        requests are recorded as suspected.
+        """
         now = self._clock.monotonic()
         running = local_target.candidates.take_fingerprints(now)
         if not running or local_target.controller.target_leaving:
@@ -356,26 +375,30 @@
         )
         self._on_evidence()
 
-    def _served(self, fingerprint: bytes) -> None:
-        """A target served a request, so it does not crash each one."""
+    def _record_success(self, fingerprint: bytes) -> None:
+        """Records a success, as evidence that a request is harmless."""
         self._quarantine.record_success(fingerprint, self._clock.monotonic())
         if self._quarantine.has_changes:
             self._on_evidence()
 
-    def _launch(
+    def _try_start(
         self,
         local_target: LocalTarget,
         ticket: admission.Ticket,
         fingerprint: bytes,
     ) -> Reason | None:
-        """The first byte is about to be sent: the point of no return."""
+        """Marks a request as started, right before it is sent.
+
+        Returns:
+            Why it must not start; None if it has started.
+        """
         now = self._clock.monotonic()
         if local_target.controller.closed:
             return Reason.DRAINING
         if ticket.deadline <= now:
             return Reason.DEADLINE
         if self._quarantine.quarantined_for(fingerprint, now):
-            # It crashed others while it waited here.
+            # It crashed other targets while it was queued.
             return Reason.QUARANTINED
         if not self.fences.try_start(ticket.id, now):
             return Reason.FENCED
@@ -384,16 +407,21 @@
 
     def _load(self, local_target: LocalTarget, route: str) -> messages.Load:
         now = self._clock.monotonic()
-        failing = self._failing(local_target.controller.service, now)
+        failure_percent = self._failure_percent(
+            local_target.controller.service, now
+        )
         return msgspec.structs.replace(
-            local_target.controller.load(now, route), failure_percent=failing
+            local_target.controller.load(now, route),
+            failure_percent=failure_percent,
         )
 
-    def _sign(self, service: str, status: int) -> Signal:
-        program: policy.ServicePolicy = self._program(service)
-        return Signal.ERROR if program.is_failure(status) else Signal.WELL
+    def _signal(self, service: str, status: int) -> Signal:
+        service_policy: policy.ServicePolicy = self._find_policy(service)
+        return (
+            Signal.ERROR if service_policy.is_failure(status) else Signal.WELL
+        )
 
-    def _timed_out(self, ticket: admission.Ticket) -> exchange.Result:
+    def _timeout_result(self, ticket: admission.Ticket) -> exchange.Result:
         if self.fences.has_started(ticket.id):
             return exchange.unknown(Reason.TIMEOUT)
         return exchange.not_run(Reason.DEADLINE)
@@ -402,29 +430,29 @@
         self,
         local_target: LocalTarget,
         ticket: admission.Ticket,
-        sign: Signal | None,
+        signal: Signal | None,
     ) -> None:
         version = local_target.controller.version
         now = self._clock.monotonic()
-        self._settle(
+        self._apply_decisions(
             local_target,
-            local_target.controller.finish(ticket, sign, now),
+            local_target.controller.finish(ticket, signal, now),
             version,
         )
 
-    def _settle(
+    def _apply_decisions(
         self,
         local_target: LocalTarget,
         decisions: list[admission.Decision],
         version: int = -1,
     ) -> None:
-        """Wakes the requests that a gate has decided on."""
+        """Wakes the queued requests that a controller has decided on."""
         for decision in decisions:
             future = self._decision_by_id.pop(decision.ticket.id, None)
             if future is not None and not future.done():
                 future.set_result(decision)
             elif isinstance(decision, admission.Start):
-                # The waiter is gone; its slot goes to the next.
+                # The sender is gone; the slot is free for the next request.
                 self._finish(local_target, decision.ticket, None)
         if version != local_target.controller.version:
             self._on_change(local_target.controller)
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -1,9 +1,9 @@
-"""Connections to a target, and one request over one of them.
+"""HTTP/1.1 client that sends a request to a target.
 
-A target may break off, answer twice, answer late in the place of the next
-answer, or answer before it has read a long body. So each answer is checked
-against the id of its request, held until it is whole where it is small, and a
-connection is used again only when nothing is left on it.
+A target may close the connection early, respond twice, send a late response in
+place of the next one, or respond before it has read the request body. So the
+request ID of a response is checked, small responses are buffered until they are
+complete, and a connection is only reused if no data is left on it.
 """
 
 import asyncio
@@ -26,53 +26,55 @@
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
 
-# Seconds that a connection may have been idle to be used again where the
-# target names no time of its own.
+# Seconds for which a connection may be idle if the target sends no Keep-Alive
+# timeout.
 DEFAULT_KEEP_ALIVE = 0.8
-# Share of the time that a target names: its clock started before ours.
+# Fraction of the Keep-Alive timeout that is used, as the target starts to count
+# it earlier than this process.
 KEEP_ALIVE_FRACTION = 0.7
-# Answers up to this size are held until whole, bytes.
+# Maximum size of responses that are buffered until complete, in bytes.
 MAX_BUFFERED_BYTES = 262_144
 MAX_HEAD_BYTES = 65_536
-# Answers to other requests that are dropped before a connection is given up.
+# Maximum number of responses to other requests that are skipped; after more,
+# the connection is closed.
 MAX_STRAY_RESPONSES = 3
 _BODILESS = (204, 304)
-# A number of more digits is no time that anybody means.
+# Values of more digits are ignored as invalid.
 _KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d{1,9})\b", re.IGNORECASE)
 
 
 class IncompleteResponse(errors.ForkliftError):
-    """A target's answer can't be passed on, or not to its end."""
+    """A request was sent, but there is no complete valid response."""
 
     def __init__(self, reason: Reason, detail: str):
         self.reason = reason
         super().__init__(
-            f"the answer of the target is unusable ({detail}); "
-            "look at the target's own log"
+            f"the target sent no complete response ({detail}); "
+            "check the log of the target"
         )
 
 
 @dataclasses.dataclass(frozen=True)
-class Head:
-    """Head of a target's answer.
+class ResponseHead:
+    """Head of a target's response.
 
     Attributes:
         status: HTTP status.
         headers: End-to-end headers.
-        length: Declared length of the body, -1 where none is declared.
-        closes: Whether the target closes the connection after it.
-        idle: Seconds that the connection may be idle afterwards.
+        length: Declared length of the body; -1 if none is declared.
+        closes: Whether the target closes the connection afterwards.
+        keep_alive: Seconds for which the connection may be idle.
     """
 
     status: int
     headers: http.Headers
     length: int
     closes: bool
-    idle: float
+    keep_alive: float
 
 
 class UpstreamRequest:
-    """One request on one target."""
+    """One request to one target."""
 
     def __init__(
         self,
@@ -83,15 +85,15 @@
         header_names: header_fields.HeaderNames,
         now: Callable[[], float],
     ):
-        """Makes a run that has not begun.
+        """Initializes a request that has not started.
 
         Args:
             pool: Connections to the target.
             request: The request.
-            expected: The name that the target must give itself.
-            target: The name by which it is known here.
+            expected: Name that the target must have; sent with the request.
+            target: Name of the incarnation, for responses and logs.
             header_names: Names of header fields.
-            now: Monotonic seconds.
+            now: Returns monotonic seconds.
         """
         self._pool = pool
         self._request = request
@@ -99,67 +101,68 @@
         self._target = target
         self._header_names = header_names
         self._now = now
-        self._stray = 0
+        self._stray_count = 0
         self._reusable = True
-        self.head: Head | None = None
+        self.head: ResponseHead | None = None
 
     async def execute(
         self,
-        launch: Callable[[], Reason | None],
+        try_start: Callable[[], Reason | None],
         load: Callable[[], messages.Load],
         sink: exchange.Sink,
     ) -> int:
-        """Sends the request and passes the answer on.
+        """Sends the request and forwards the response.
 
         Args:
-            launch: Marks the point of no return; a reason forbids it.
-            load: The target's load for the answer's head.
-            sink: Where the answer goes.
+            try_start: Marks the request as started right before it is sent;
+                returns a reason if it must not start.
+            load: Returns the load of the target, for the response head.
+            sink: Receives the response.
 
         Returns:
-            The HTTP status, once the answer was passed on whole.
+            The HTTP status, once the complete response is forwarded.
 
         Raises:
-            connection_pool.NotSent: The target did not run it.
-            AnswerBroken: It was sent, and there is no whole answer.
-            tcp_stream.ConnectionLost: The sink is gone.
+            connection_pool.NotRun: The target did not run the request.
+            IncompleteResponse: It was sent; there is no complete response.
+            tcp_stream.ConnectionLost: The sink's connection is lost.
         """
         connection = await self._pool.acquire(self._request.idempotent)
-        whole = False
+        is_complete = False
         try:
-            reason = launch()
+            reason = try_start()
             if reason is not None:
                 raise connection_pool.NotRun(
-                    reason, "it may not start any more"
+                    reason, "it must not start any more"
                 )
-            await self._exchange(connection, load, sink)
-            whole = True
+            await self._send_and_receive(connection, load, sink)
+            is_complete = True
         finally:
-            if whole and self._reusable and not self.head.closes:
-                self._pool.release(connection, self.head.idle)
+            if is_complete and self._reusable and not self.head.closes:
+                self._pool.release(connection, self.head.keep_alive)
             else:
                 self._pool.discard(connection)
         return self.head.status
 
-    async def _exchange(
+    async def _send_and_receive(
         self,
         connection: tcp_stream.Connection,
         load: Callable[[], messages.Load],
         sink: exchange.Sink,
     ) -> None:
         protocol = self._new_protocol()
-        head = protocol.send(self._head_event())
+        head = protocol.send(self._request_head())
         body = self._request.body
         if body.complete:
-            self._write(connection, head + self._inline(protocol))
-            await self._answer(connection, protocol, load, sink)
+            self._write(connection, head + self._encode_body(protocol))
+            await self._receive_response(connection, protocol, load, sink)
             return
         self._write(connection, head)
         upload = asyncio.create_task(self._upload(connection, protocol))
         try:
-            await self._answer(connection, protocol, load, sink)
-            # Answered before the whole body was taken: what the target still
-            # reads must not be the next request.
+            await self._receive_response(connection, protocol, load, sink)
+            # If the target responded before it read the whole body, the rest
+            # must not be taken for the next request.
             self._reusable = self._reusable and upload.done()
         finally:
             upload.cancel()
@@ -176,13 +179,13 @@
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
 
-    def _head_event(self) -> h11.Request:
+    def _request_head(self) -> h11.Request:
         request = self._request
         names = self._header_names
         remaining = max(1, int((request.deadline - self._now()) * 1000))
-        ours = names.reserved
+        reserved = names.reserved
         headers = [
-            header for header in request.headers if header[0] not in ours
+            header for header in request.headers if header[0] not in reserved
         ]
         if http.value(request.headers, names.request_id) is None:
             headers.append((names.request_id, request.id.encode()))
@@ -201,7 +204,7 @@
             method=request.method, target=request.path, headers=headers
         )
 
-    def _inline(self, protocol: h11.Connection) -> bytes:
+    def _encode_body(self, protocol: h11.Connection) -> bytes:
         data = b""
         if self._request.body.prefix:
             data = protocol.send(h11.Data(self._request.body.prefix))
@@ -211,8 +214,8 @@
         self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> None:
         try:
-            async for piece in self._request.body.chunks():
-                connection.write(protocol.send(h11.Data(piece)))
+            async for chunk in self._request.body.chunks():
+                connection.write(protocol.send(h11.Data(chunk)))
                 await connection.drain()
             connection.write(protocol.send(h11.EndOfMessage()))
         except (
@@ -221,34 +224,40 @@
             tcp_stream.ConnectionLost,
             TimeoutError,
         ) as error:
-            # The target sees a broken request and can't take it as whole.
+            # The target must not take the request for complete.
             _log.info(
-                "upload_broken", request=self._request.id, detail=str(error)
+                "upload_failed", request=self._request.id, detail=str(error)
             )
             connection.abort()
 
-    async def _answer(
+    async def _receive_response(
         self,
         connection: tcp_stream.Connection,
         protocol: h11.Connection,
         load: Callable[[], messages.Load],
         sink: exchange.Sink,
     ) -> None:
-        reading = protocol
+        reader = protocol
         while True:
-            response = await self._response(connection, reading)
-            if self._own(response):
+            response = await self._next_response(connection, reader)
+            if self._is_own_response(response):
                 break
-            reading = await self._skip(connection, reading)
-        found = http.value(http.fields(response), self._header_names.request_id)
-        own = self._request.id
-        invariants.own_answer(own, own if found is None else found.decode())
-        self.head = self._check(response)
+            reader = await self._skip_stray_response(connection, reader)
+        request_id = http.value(
+            http.fields(response), self._header_names.request_id
+        )
+        own_id = self._request.id
+        invariants.own_answer(
+            own_id, own_id if request_id is None else request_id.decode()
+        )
+        self.head = self._parse_head(response)
         self._raise_not_run(response)
-        passing = _Passing(sink, self.head, self._target, load)
-        await self._body(connection, reading, passing)
+        response_forwarder = _ResponseForwarder(
+            sink, self.head, self._target, load
+        )
+        await self._forward_body(connection, reader, response_forwarder)
 
-    async def _response(
+    async def _next_response(
         self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> h11.Response:
         while True:
@@ -258,18 +267,24 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             raise IncompleteResponse(
-                Reason.TARGET_BROKE, "closed without an answer"
+                Reason.TARGET_BROKE, "connection closed without a response"
             )
 
-    async def _skip(
+    async def _skip_stray_response(
         self, connection: tcp_stream.Connection, protocol: h11.Connection
     ) -> h11.Connection:
-        """Drops an answer to another request; ours is still to come."""
-        self._stray += 1
-        _log.info("stray_answer", request=self._request.id, target=self._target)
-        if self._stray > MAX_STRAY_RESPONSES:
+        """Skips a response to another request.
+
+        Returns:
+            The protocol state for the next response.
+        """
+        self._stray_count += 1
+        _log.info(
+            "stray_response", request=self._request.id, target=self._target
+        )
+        if self._stray_count > MAX_STRAY_RESPONSES:
             raise IncompleteResponse(
-                Reason.WRONG_ANSWER, "too many stray answers"
+                Reason.WRONG_ANSWER, "too many stray responses"
             )
         while True:
             event = await self._next_event(connection, protocol)
@@ -277,40 +292,40 @@
                 break
             if not isinstance(event, h11.Data):
                 raise IncompleteResponse(
-                    Reason.WRONG_ANSWER, "a stray one broke off"
+                    Reason.WRONG_ANSWER, "incomplete stray response"
                 )
         if protocol.their_state is not h11.DONE:
             raise IncompleteResponse(
-                Reason.WRONG_ANSWER, "a stray answer closed"
+                Reason.WRONG_ANSWER, "connection closed after a stray response"
             )
-        # The library reads one answer for each request, so it is told of the
-        # request once more; nothing of that is sent.
-        again = self._new_protocol()
-        again.send(self._head_event())
+        # h11 reads one response for each request, so the request is passed to
+        # it again; the result is not sent.
+        restarted = self._new_protocol()
+        restarted.send(self._request_head())
         if self._request.body.complete:
-            self._inline(again)
-        again.receive_data(protocol.trailing_data[0])
-        return again
+            self._encode_body(restarted)
+        restarted.receive_data(protocol.trailing_data[0])
+        return restarted
 
-    async def _body(
+    async def _forward_body(
         self,
         connection: tcp_stream.Connection,
         protocol: h11.Connection,
-        passing: "_Passing",
+        response_forwarder: "_ResponseForwarder",
     ) -> None:
         while True:
             event = await self._next_event(connection, protocol)
             if isinstance(event, h11.Data):
-                await passing.data(bytes(event.data))
+                await response_forwarder.data(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 break
             else:
                 raise IncompleteResponse(
-                    Reason.TARGET_BROKE, "the body broke off"
+                    Reason.TARGET_BROKE, "incomplete response body"
                 )
         clean = protocol.their_state is h11.DONE
         self._reusable = clean and not protocol.trailing_data[0]
-        await passing.end()
+        await response_forwarder.end()
 
     async def _next_event(
         self, connection: tcp_stream.Connection, protocol: h11.Connection
@@ -322,7 +337,7 @@
                     return event
                 data = await connection.read()
                 if not data and connection.error is not None:
-                    # A reset ends no answer, not even one without a length.
+                    # After a reset, a response without a length is incomplete.
                     raise IncompleteResponse(
                         Reason.TARGET_BROKE, str(connection.error)
                     )
@@ -330,23 +345,25 @@
         except h11.RemoteProtocolError as error:
             raise IncompleteResponse(Reason.TARGET_BROKE, str(error)) from error
 
-    def _own(self, response: h11.Response) -> bool:
-        found = http.value(http.fields(response), self._header_names.request_id)
-        return found is None or found == self._request.id.encode()
+    def _is_own_response(self, response: h11.Response) -> bool:
+        request_id = http.value(
+            http.fields(response), self._header_names.request_id
+        )
+        return request_id is None or request_id == self._request.id.encode()
 
     def _raise_not_run(self, response: h11.Response) -> None:
         status = response.status_code
         if status == 421:
             raise connection_pool.NotRun(
-                Reason.MISDIRECTED, "another target answers there"
+                Reason.MISDIRECTED, "another target uses the address"
             )
         headers = http.fields(response)
         if http.value(headers, self._header_names.not_run) is not None:
             raise connection_pool.NotRun(
-                Reason.SHED, f"it refused with {status}"
+                Reason.SHED, f"it rejected the request with status {status}"
             )
 
-    def _check(self, response: h11.Response) -> Head:
+    def _parse_head(self, response: h11.Response) -> ResponseHead:
         headers = http.fields(response)
         chunked = http.value(headers, b"transfer-encoding") is not None
         declared = http.value(headers, b"content-length")
@@ -358,26 +375,27 @@
         connection = http.value(headers, b"connection") or b""
         framed = chunked or declared is not None or bodiless
         closes = b"close" in connection.lower() or not framed
-        dropped = (self._header_names.load,)
-        kept = tuple(
+        excluded = (self._header_names.load,)
+        end_to_end = tuple(
             header
             for header in http.end_to_end(headers)
-            if header[0] not in dropped
+            if header[0] not in excluded
+        )
+        return ResponseHead(
+            status, end_to_end, length, closes, _keep_alive_seconds(headers)
         )
-        return Head(status, kept, length, closes, _keep_alive_seconds(headers))
 
 
-class _Passing:
-    """Passes an answer on; a small one only once it is whole.
+class _ResponseForwarder:
+    """Forwards a response; a small one only once it is complete.
 
-    One that breaks off before can then be replaced by another target's
-    without the caller seeing anything of it.
+    So an incomplete small response can be replaced by that of another target.
     """
 
     def __init__(
         self,
         sink: exchange.Sink,
-        head: Head,
+        head: ResponseHead,
         target: str,
         load: Callable[[], messages.Load],
     ):
@@ -385,26 +403,26 @@
         self._head = head
         self._target = target
         self._load = load
-        self._held = bytearray()
-        self._begun = False
+        self._buffer = bytearray()
+        self._has_started = False
 
-    async def data(self, piece: bytes) -> None:
-        """Takes a piece of the body."""
-        if self._begun:
-            await self._sink.data(piece)
+    async def data(self, chunk: bytes) -> None:
+        """Forwards or buffers a chunk of the body."""
+        if self._has_started:
+            await self._sink.data(chunk)
             return
-        self._held += piece
-        if len(self._held) > MAX_BUFFERED_BYTES:
-            await self._begin(self._head.length)
+        self._buffer += chunk
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
+            await self._start(self._head.length)
 
     async def end(self) -> None:
-        """The answer is whole."""
-        if not self._begun:
-            await self._begin(len(self._held))
+        """Handles the end of a complete response."""
+        if not self._has_started:
+            await self._start(len(self._buffer))
         await self._sink.end()
 
-    async def _begin(self, length: int) -> None:
-        self._begun = True
+    async def _start(self, length: int) -> None:
+        self._has_started = True
         head = exchange.Head(
             self._head.status,
             self._head.headers,
@@ -413,14 +431,14 @@
             self._load(),
         )
         await self._sink.start(head)
-        if self._held:
-            await self._sink.data(bytes(self._held))
-            self._held.clear()
+        if self._buffer:
+            await self._sink.data(bytes(self._buffer))
+            self._buffer.clear()
 
 
 def _keep_alive_seconds(headers: http.Headers) -> float:
-    """Seconds that the connection may be idle, by the target's word."""
-    found = _KEEP_ALIVE.search(http.value(headers, b"keep-alive") or b"")
-    if found is None:
+    """Returns the seconds for which the connection may be idle."""
+    match = _KEEP_ALIVE.search(http.value(headers, b"keep-alive") or b"")
+    if match is None:
         return DEFAULT_KEEP_ALIVE
-    return int(found[1]) * KEEP_ALIVE_FRACTION
+    return int(match[1]) * KEEP_ALIVE_FRACTION
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -206,7 +206,7 @@
         )
     except h11.LocalProtocolError:
         return
-    found = health_probe._health(response, header_fields.DEFAULT)
+    found = health_probe._parse_response(response, header_fields.DEFAULT)
     assert found.target.isprintable()
     assert 0 <= found.slots < 10**6
 
--- a/test/test_log_trace.py
+++ b/test/test_log_trace.py
@@ -14,7 +14,7 @@
     lines = [
         {"event": "request", "request": "r1", "outcome": "unknown",
          "reason": "target-broke", "status": 0, "timestamp": "3"},
-        {"event": "answer_broken", "request": "r1", "target": "t",
+        {"event": "response_incomplete", "request": "r1", "target": "t",
          "timestamp": "2"},
         {"event": "target_changed", "target": "t", "state": "suspect",
          "timestamp": "2.5"},
@@ -23,7 +23,7 @@
     read = log_trace.parse([json.dumps(line) for line in lines] + ["noise"])
     trace = log_trace.trace_request(read, "r1")
     assert [line.split()[1] for line in trace[:2]] == [
-        "answer_broken:",
+        "response_incomplete:",
         "request:",
     ]
     assert "broke the connection" in trace[-1]
@@ -58,7 +58,7 @@
     scripts = [["reset"], ["reset"]]
     lines = capture_lines(lambda: processes.play(work, scripts, first=first))
     trace = trace_failure(lines)
-    assert "answer_broken" in trace
+    assert "response_incomplete" in trace
     assert trace.endswith(
         "cause: the target broke the connection during the request; "
         "the request may have run"
