--- a/forklift/shell/control_protocols.py
+++ b/forklift/shell/control_protocols.py
@@ -249,7 +249,7 @@
         self._apply_membership_changes()
 
     def _send_leaving_reminder(self, peer: messages.ProcessInfo) -> None:
-        """Tells a restarted process which of its targets were leaving."""
+        """Reminds a restarted process of its targets that were leaving."""
         known = self.directory.member_by_name.get(peer.name)
         if known is not None and known.info.boot != peer.boot:
             leaving = tuple(
--- a/forklift/shell/peer_client.py
+++ b/forklift/shell/peer_client.py
@@ -186,7 +186,7 @@
         """Fails idempotent requests as the peer is unresponsive.
 
         They can be retried elsewhere. Other requests stay pending, as their
-        responses may still arrive.
+        responses may still arrive; without any, the connection is closed.
         """
         self.unresponsive.set()
         for pending in self._pending_by_id.values():
@@ -196,7 +196,7 @@
             self.close()
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Closes the connection and discards unsent data."""
         self._frames.transport.abort()
 
     async def _receive_response(
