--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -1,7 +1,6 @@
-"""One process of the fleet on a platform: builds the parts, ties them together.
+"""One process of the fleet: creates its components and connects them.
 
-It is the entry that callers speak to, and the only way to the target beside
-it.
+A process is the ingress for callers and the only way to its local targets.
 """
 
 import asyncio
@@ -45,56 +44,80 @@
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
 
-# Seconds between signs of life on links, and between checks that can wait.
+# Seconds between keep-alives to peers, and between periodic tasks that are not
+# urgent.
 KEEPALIVE_INTERVAL = 0.2
 SLOW_TICK_INTERVAL = 0.5
-# A gap between two ticks this long means that the process was paused.
+# Minimum seconds between two ticks that mean that the process was paused.
 PAUSE_THRESHOLD = 1.0
-# Peers that sent a request within these seconds hear at once of a doubt about
-# its target; others learn it from the refusal, should they send one.
+# Peers that sent a request within these seconds are told at once when a target
+# is ejected. Others learn it when the target's process rejects their request.
 RECENT_SENDER_TIME = 3.0
-# Seconds without work after which a sound target asks for some: longer than the
-# process beside it lets it go without, where that has callers.
+# Seconds without a request after which a target is announced as idle. Must
+# exceed the time within which an ingress process that has callers sends to an
+# idle target anyway.
 IDLE_TARGET_TIME = 1.2
-# One that is doubted asks for a test.
-_ASKS_FOR_WORK = (
+# States of targets that are announced when idle; a suspected one needs a trial
+# request.
+_IDLE_STATES = (
     messages.TargetState.IN_SERVICE,
     messages.TargetState.SUSPECT,
 )
-# A process that met nobody is ready after this time alone, seconds.
+# Seconds after its start at which a process is ready even if it found no peers.
 READY_WITHOUT_PEERS_AFTER = 3.0
 
 
 class Proxy:
-    """One process of the fleet, in both its roles."""
+    """One process of the fleet, both as ingress and in front of its targets.
+
+    Attributes:
+        settings: Current settings.
+        clock: Source of time.
+        boot: Random number that identifies this run of the process.
+        incarnation: Increases with every detected pause, so that requests sent
+            before a pause are recognized as stale.
+        store: The platform's store.
+        server_connections: Connections on which peers send requests.
+        policy: Current policy.
+        stopping: Whether the shutdown was requested.
+        stop_deadlines: Deadlines of the shutdown; None before the request.
+        counters: Counters for metrics.
+        active_catalog: The catalog that this process uses.
+    """
 
     def __init__(
         self,
-        read: settings.Settings,
+        initial: settings.Settings,
         store: interfaces.Registry,
         decode,
         names: header_fields.HeaderNames,
     ):
-        self.settings = read
+        """Creates a process that is not running.
+
+        Args:
+            initial: Settings to start with.
+            store: The platform's store.
+            decode: Decodes a configuration record.
+            names: Names of the platform's header fields.
+        """
+        self.settings = initial
         self.clock = clocks.SystemClock()
         self.boot = secrets.randbits(63)
         self._rng = random.Random(self.boot)
         self.store = store
-        store.on_lost = self._store_lost
+        store.on_lost = self._store_data_lost
         self._names = names
-        self._key = read.process.key.encode()
+        self._key = initial.process.key.encode()
         self._tasks: set[asyncio.Task] = set()
         self._servers: list[asyncio.Server] = []
-        # Connections of peers that ask us.
-        self.served: set[peer_server.ServerConnection] = set()
-        self.policy = load_policy(read)
+        self.server_connections: set[peer_server.ServerConnection] = set()
+        self.policy = load_policy(initial)
         self._started_at = self.clock.monotonic()
         self._last_tick = self._started_at
-        self._next_beat = self._started_at
-        self._next_slow = self._started_at
+        self._next_keepalive = self._started_at
+        self._next_slow_tick = self._started_at
         self.incarnation = 1
         self.stopping = False
-        # Of its stop, once that was asked for.
         self.stop_deadlines: shutdown.Deadlines | None = None
         self.counters = counters.Counters()
         self.active_catalog = catalog.ActiveCatalog()
@@ -104,7 +127,7 @@
             self.clock,
             lambda: self.control_protocols.newest_announced_version,
             lambda: self.control_protocols.is_alone,
-            self._taken,
+            self._catalog_activated,
         )
         self.quarantine = quarantine.Quarantine()
         self._build()
@@ -113,31 +136,31 @@
 
     def _build(self) -> None:
         own = self.settings.process
-        self.ticker = ticker.Ticker(self._tick_safely, self._busy)
+        self.ticker = ticker.Ticker(self._tick_safely, self._has_work)
         self.control_channel = control_channel.ControlChannel(
             own.control,
             self.boot,
             self._key,
             self.clock.wall,
-            self._heard,
+            self._receive_control,
             own.control_public,
         )
         self.balancer = load_balancer.LoadBalancer(
             own.name,
             own.domain,
             self._rng,
-            self.program,
-            _bounds(self.settings),
+            self.service_policy,
+            _retry_budget_limits(self.settings),
             self.settings.limits.far_cost,
         )
         self.local_targets = local_targets.LocalTargets(
             self._names,
-            self.program,
+            self.service_policy,
             self.clock,
             self._target_changed,
             self.balancer.failure_percent,
             self.quarantine,
-            self._evidence,
+            self._evidence_changed,
         )
         self.target_registry = target_registry.TargetRegistry(
             self.settings,
@@ -157,7 +180,7 @@
             lambda: self.directory.alive(),
         )
         self.control_protocols = control_protocols.ControlProtocols(
-            self._describe_first(),
+            self._initial_info(),
             self._rng,
             self.clock,
             self.active_catalog,
@@ -172,7 +195,7 @@
         self.directory = self.control_protocols.directory
         self.rate_limiter = rate_limiting.AsyncLimiter(
             self.directory,
-            _limit_bounds(self.settings),
+            _rate_limit_bounds(self.settings),
             self.active_catalog,
             lambda: self.control_protocols.size_known,
             self.control_channel.send,
@@ -192,7 +215,7 @@
             self._hello,
             self._key,
             self.clock,
-            self._standing,
+            self._update_load,
         )
         self.forwarder = forwarding.Forwarder(
             own.name,
@@ -200,7 +223,7 @@
             self.balancer,
             self.local_targets,
             self.peer_connections,
-            self.program,
+            self.service_policy,
             self.clock,
             self._rng,
             self.quarantine,
@@ -209,7 +232,7 @@
             ingress.Hooks(
                 header_names=self._names,
                 limits=lambda: self.active_catalog.catalog.limits,
-                find_route=self._find,
+                find_route=self._find_route,
                 is_configured=lambda: self.active_catalog.loaded,
                 handle=self._handle,
                 next_seq=self.forwarder.next_seq,
@@ -221,7 +244,7 @@
             self.clock,
         )
 
-    def _describe_first(self) -> messages.ProcessInfo:
+    def _initial_info(self) -> messages.ProcessInfo:
         own = self.settings.process
         return messages.ProcessInfo(
             name=own.name,
@@ -237,13 +260,13 @@
             config=0,
         )
 
-    # Life.
+    # Start and shutdown.
 
     async def start(self) -> None:
-        """Listens and begins to work.
+        """Opens the sockets and starts the background tasks.
 
         Raises:
-            errors.UserError: An address can't be listened on.
+            errors.UserError: The process can't listen on an address.
         """
         own = self.settings.process
         try:
@@ -256,7 +279,7 @@
             raise errors.UserError(
                 f"can't listen ({error}); check the addresses in [process]"
             ) from error
-        # Port 0 lets the system choose, and others must be told which.
+        # The system chooses the port if the settings say 0.
         self.directory.update_own(
             peer=own.peer_public or tcp_stream.bound_address(self._servers[1]),
             control=own.control_public or self.control_channel.address,
@@ -276,20 +299,20 @@
 
     @property
     def caller_address(self) -> str:
-        """Where callers are listened for, once that began."""
+        """Address on which callers are accepted, after `start`."""
         return tcp_stream.bound_address(self._servers[0])
 
     async def stop(self) -> None:
-        """Stops as planned: nothing in flight is cut off."""
+        """Shuts down gracefully, after the requests in flight."""
         if not self.stopping:
             self.request_stop()
         await shutdown.stop(self)
         await self.close()
 
     def request_stop(self) -> None:
-        """Somebody wants this process to stop, perhaps not for the first time.
+        """Requests the shutdown, which `stop` then performs.
 
-        The stop itself begins with `stop`.
+        Another request extends the deadlines.
         """
         now, grace = self.clock.monotonic(), self.settings.platform.grace
         if not self.stopping:
@@ -300,58 +323,66 @@
             self.stop_deadlines, now, grace
         )
         self.forwarder.set_stop_deadlines(self.stop_deadlines)
-        _log.info("stop_asked_again", running=self.running())
+        _log.info("stop_requested_again", running=self.running())
 
     def stop_accepting(self) -> None:
-        """Takes no new connection of a caller from now on."""
+        """Stops accepting connections of callers."""
         self._servers[0].close()
         self.ingress.closed = True
 
     async def close(self) -> None:
-        """Ends everything at once."""
+        """Closes all connections and cancels all tasks at once."""
         for server in self._servers:
             server.close()
         self.ticker.stop()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for served in list(self.served):
-            served.close()
+        for connection in list(self.server_connections):
+            connection.close()
         self.peer_connections.close()
         for local_target in self.local_targets.by_name.values():
             local_target.pool.close_idle()
         await self.control_channel.close()
         self.store.close()
 
-    def reload(self, read: settings.Settings) -> None:
-        """Takes other settings; those of [process] stay until a restart."""
-        self.settings = read
-        self.target_registry.settings = read
-        self.policy = load_policy(read)
-        self.balancer.set_retry_limits(_bounds(self.settings))
-        self.rate_limiter.limiter.set_bounds(_limit_bounds(read))
-        self.balancer.far_cost = read.limits.far_cost
+    def reload(self, changed: settings.Settings) -> None:
+        """Applies changed settings, except those that need a restart.
+
+        Raises:
+            errors.UserError: The policy file can't be read or is invalid.
+        """
+        self.settings = changed
+        self.target_registry.settings = changed
+        self.policy = load_policy(changed)
+        self.balancer.set_retry_limits(_retry_budget_limits(self.settings))
+        self.rate_limiter.limiter.set_bounds(_rate_limit_bounds(changed))
+        self.balancer.far_cost = changed.limits.far_cost
 
     def running(self) -> int:
-        """Requests in flight in any role."""
-        served = sum(1 for served in self.served if served.busy)
-        return self.ingress.running + self.local_targets.running + served
+        """Number of requests in flight, from callers and from peers."""
+        from_peers = sum(
+            1 for connection in self.server_connections if connection.busy
+        )
+        return self.ingress.running + self.local_targets.running + from_peers
 
     def pending_responses(self) -> int:
-        """Answers that this process still owes, in any role.
+        """Number of responses that callers and peers still wait for.
 
-        Unlike `running`, it counts what is still being read, and answers
-        that the system has not taken.
+        Unlike `running`, includes requests that are still being read and
+        responses that are not yet in the socket buffer.
         """
-        served = sum(1 for served in self.served if served.busy)
+        from_peers = sum(
+            1 for connection in self.server_connections if connection.busy
+        )
         return (
             self.ingress.pending_connections
             + self.local_targets.running
-            + served
+            + from_peers
         )
 
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the platform should send callers to this process."""
         if self.stopping or not self.active_catalog.loaded:
             return False
         age = self.clock.monotonic() - self._started_at
@@ -361,40 +392,42 @@
         )
 
     def spawn(self, work) -> None:
-        """Runs a coroutine beside, until the process ends."""
+        """Runs a coroutine in the background until the process ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     # Configuration.
 
-    def program(self, service: str) -> policy.ServicePolicy:
-        """The program of a service."""
+    def service_policy(self, service: str) -> policy.ServicePolicy:
+        """Returns the rules for a service."""
         return self.policy.program(service)
 
-    def _store_lost(self) -> None:
-        """The store came back without some of what it had acknowledged."""
+    def _store_data_lost(self) -> None:
+        """Repeats writes and reads after the store lost acknowledged data."""
         self.directory.update_own(store_epoch=self.store.epoch or 0)
         self.follower.restart_read()
         self.control_protocols.store_data_lost.set()
         self.quarantine_store.rewrite_all()
 
-    def _taken(self, found: catalog.Catalog, source: str) -> None:
-        """A version came in force."""
+    def _catalog_activated(
+        self, activated: catalog.Catalog, source: str
+    ) -> None:
+        """Applies a catalog that was just activated."""
         if source != configuration_loader.STORE_SOURCE:
             self.follower.on_newer_from_peer(self.clock.monotonic())
-        # Its watchers are told at once.
+        # Sends the version to peers at once.
         self.ticker.wake(0.0)
-        self.target_registry.apply_catalog(found)
+        self.target_registry.apply_catalog(activated)
         self.balancer.shortest_objective_by_service = (
-            found.shortest_objective_by_service
+            activated.shortest_objective_by_service
         )
-        self.directory.update_own(config=found.version)
+        self.directory.update_own(config=activated.version)
 
     async def _handle(
         self, request: exchange.Request, sink: exchange.Sink
     ) -> exchange.Result:
-        self._observe()
+        self._detect_pause()
         self.ticker.wake()
         wait = await self.rate_limiter.admit(request.organisation)
         if wait is not None:
@@ -407,7 +440,7 @@
             self.rate_limiter.refund(request.organisation)
         return result
 
-    def _find(
+    def _find_route(
         self, host: str, path: str, keys: tuple[bytes, ...]
     ) -> ingress.RouteMatch | None:
         current = self.active_catalog.catalog
@@ -419,52 +452,54 @@
             caller = current.callers.identify(keys, route.allows_anonymous)
         return ingress.RouteMatch(route, route.pick(self._rng), caller)
 
-    def _evidence(self) -> None:
-        """What is known of requests that crash targets has changed here."""
-        # It is told ahead of the next attempt of such a request.
+    def _evidence_changed(self) -> None:
+        """Distributes evidence on requests that crash targets."""
+        # Peers must have it before the next attempt of such a request.
         self.ticker.wake(0.0)
         self.quarantine_store.save()
 
-    def _target_changed(self, changed: admission.Controller) -> None:
-        """A target's state changed: those who send to it hear at once."""
-        load = changed.load(self.clock.monotonic())
-        standing = messages.LoadUpdate(changed.name, load)
+    def _target_changed(self, controller: admission.Controller) -> None:
+        """Tells peers that send to a target that its state changed."""
+        load = controller.load(self.clock.monotonic())
+        update = messages.LoadUpdate(controller.name, load)
         since = float("-inf")
-        if not changed.closed:
+        if not controller.closed:
             since = asyncio.get_running_loop().time() - RECENT_SENDER_TIME
-        for served in list(self.served):
-            served.send_load_update(standing, since)
-        if changed.health.ejected:
-            self.counters.ejections_by_signal[str(changed.health.signal)] += 1
+        for connection in list(self.server_connections):
+            connection.send_load_update(update, since)
+        if controller.health.ejected:
+            self.counters.ejections_by_signal[
+                str(controller.health.signal)
+            ] += 1
         _log.info(
             "target_changed",
-            target=changed.name,
-            state=str(standing.load.state),
-            sign=str(changed.health.signal),
+            target=controller.name,
+            state=str(update.load.state),
+            sign=str(controller.health.signal),
             risk=load.unhealthy_probability,
             running=load.in_flight,
         )
-        if changed.closed:
+        if controller.closed:
             self.control_protocols.publish_targets()
 
-    def _standing(self, standing: messages.LoadUpdate) -> None:
+    def _update_load(self, update: messages.LoadUpdate) -> None:
         now = self.clock.monotonic()
-        self.balancer.update_load(standing.target, standing.load, now)
+        self.balancer.update_load(update.target, update.load, now)
 
-    # Peers' requests.
+    # Requests from peers.
 
     async def _serve_peer(
         self,
-        served: peer_server.ServerConnection,
+        connection: peer_server.ServerConnection,
         start: messages.RequestStart,
         body: exchange.Body,
-        answerer: peer_server.ResponseSink,
+        sink: peer_server.ResponseSink,
     ) -> exchange.Result:
-        self._observe()
+        self._detect_pause()
         self.ticker.wake()
         now = self.clock.monotonic()
         if start.incarnation != self.incarnation:
-            # It may be older than its sender knows.
+            # The request may have been delayed by a pause of this process.
             return exchange.not_run(Reason.STALE)
         request = exchange.Request(
             id=start.request_id,
@@ -484,7 +519,7 @@
             organisation=start.organisation,
         )
         ticket = admission.Ticket(
-            (served.peer.boot, start.seq),
+            (connection.peer.boot, start.seq),
             start.idempotent,
             start.priority,
             request.deadline,
@@ -497,13 +532,11 @@
             now + start.start_within,
             start.exclusive,
         )
-        return await self.local_targets.run(
-            start.target, ticket, request, answerer
-        )
+        return await self.local_targets.run(start.target, ticket, request, sink)
 
-    def _fence(self, fence: messages.FenceRequest) -> bool:
+    def _fence_request(self, fence: messages.FenceRequest) -> bool:
         if fence.to_boot != self.boot:
-            # An earlier run of this process may have started it.
+            # An earlier run of this process may have started the request.
             return False
         return self.local_targets.fence((fence.boot, fence.seq))
 
@@ -518,23 +551,23 @@
         )
 
     def _accept_peer(self, frames: framing.FrameConnection) -> None:
-        served = peer_server.ServerConnection(
+        connection = peer_server.ServerConnection(
             frames,
             self._hello,
             self._key,
             self._serve_peer,
-            self._fence,
+            self._fence_request,
             lambda: _log.warning("peer_refused", peer=frames.peer),
             self.forwarder.dispatcher.relay_fence,
         )
-        lost = frames.on_lost
+        on_lost = frames.on_lost
 
         def forget() -> None:
-            self.served.discard(served)
-            lost()
+            self.server_connections.discard(connection)
+            on_lost()
 
         frames.on_lost = forget
-        self.served.add(served)
+        self.server_connections.add(connection)
 
     def _hello(self) -> messages.Hello:
         return messages.Hello(
@@ -568,10 +601,10 @@
                 seconds=round(seconds, 4),
             )
 
-    # Time.
+    # Ticks and control messages.
 
-    def _busy(self) -> bool:
-        """Whether there is anything that a tick looks after."""
+    def _has_work(self) -> bool:
+        """Whether there is work that needs frequent ticks."""
         return bool(
             self.ingress.running
             or self.local_targets.running
@@ -579,7 +612,7 @@
             or self.control_protocols.is_active(self.clock.monotonic())
         )
 
-    def _heard(self, message: messages.Control) -> None:
+    def _receive_control(self, message: messages.Control) -> None:
         if isinstance(message, rate_limiting.MESSAGE_TYPES):
             self.rate_limiter.receive(message)
             return
@@ -588,12 +621,16 @@
         self.configuration_loader.activate_pending()
         sender = message.sender
         if isinstance(sender, messages.ProcessInfo):
-            self._compare_era(sender)
+            self._check_store_epoch(sender)
         if self.control_protocols.is_active(self.clock.monotonic()):
             self.ticker.wake()
 
-    def _compare_era(self, peer: messages.ProcessInfo) -> None:
-        """A peer saw the store lose records, which few look at themselves."""
+    def _check_store_epoch(self, peer: messages.ProcessInfo) -> None:
+        """Reads the store again if a peer knows a newer epoch of it.
+
+        Processes that are not readers learn only from peers that the store has
+        lost data.
+        """
         known = self.store.epoch
         if known is not None and peer.store_epoch > known:
             self.follower.restart_read()
@@ -607,36 +644,37 @@
                 raise
 
     def _tick(self) -> None:
-        self._observe()
+        self._detect_pause()
         now = self.clock.monotonic()
         self.configuration_loader.activate_pending()
         self.local_targets.tick(now)
         self.peer_connections.tick()
-        self._look_beside(now)
-        if now >= self._next_beat:
-            self._next_beat = now + KEEPALIVE_INTERVAL
-            for served in list(self.served):
-                served.send_keepalive()
-        if now >= self._next_slow:
-            self._next_slow = now + SLOW_TICK_INTERVAL
+        self._update_local_loads(now)
+        if now >= self._next_keepalive:
+            self._next_keepalive = now + KEEPALIVE_INTERVAL
+            for connection in list(self.server_connections):
+                connection.send_keepalive()
+        if now >= self._next_slow_tick:
+            self._next_slow_tick = now + SLOW_TICK_INTERVAL
             self.ingress.tick(now)
             self.target_registry.expire(now)
             self.control_protocols.update_own_targets()
-            self._ask_for_work(now)
+            self._announce_idle_targets(now)
             self.quarantine_store.tick()
         self.control_protocols.tick(now)
         self.rate_limiter.tick(now)
         self.follower.update_role()
 
-    def _ask_for_work(self, now: float) -> None:
-        """Has others send to a target beside that nobody uses.
+    def _announce_idle_targets(self, now: float) -> None:
+        """Asks other processes to send requests to idle local targets.
 
-        This entry sees to it as long as it has callers. Where it has none, all
-        others go on with targets that they know to be well.
+        An ingress process sends to idle targets only while it has callers. If
+        this one has none, the other processes would go on with the targets
+        that they know to be healthy.
         """
         for local_target in self.local_targets.by_name.values():
             load = local_target.controller.load(now)
-            usable = load.state in _ASKS_FOR_WORK
+            usable = load.state in _IDLE_STATES
             if (
                 usable
                 and load.idle > IDLE_TARGET_TIME
@@ -646,8 +684,8 @@
                     local_target.controller.name, load
                 )
 
-    def _look_beside(self, now: float) -> None:
-        """Keeps the choice of targets up to date on those beside."""
+    def _update_local_loads(self, now: float) -> None:
+        """Updates the load balancer with the load of the local targets."""
         for local_target in self.local_targets.by_name.values():
             self.balancer.update_load(
                 local_target.controller.name,
@@ -655,10 +693,11 @@
                 now,
             )
 
-    def _observe(self) -> None:
-        """Notices a pause of this process, before anything else is done.
+    def _detect_pause(self) -> None:
+        """Detects that this process was paused; must run before other work.
 
-        What arrived meanwhile may be older than it says, so it is refused.
+        Messages that arrived during the pause may be older than they claim, so
+        a new incarnation makes them stale.
         """
         now = self.clock.monotonic()
         paused = now - self._last_tick
@@ -672,25 +711,27 @@
         self.control_protocols.handle_pause()
 
 
-def load_policy(read: settings.Settings) -> policy.Policy:
-    """The policy that settings name, or the built-in one.
+def load_policy(current: settings.Settings) -> policy.Policy:
+    """Loads the policy file in the settings, or returns the built-in policy.
 
     Raises:
-        errors.UserError: Its file can't be read or holds mistakes.
+        errors.UserError: The file can't be read or is invalid.
     """
-    file = read.process.policy
+    file = current.process.policy
     if not file:
         return policy.BUILT_IN
     return policy.parse(file, settings.read_file(file))
 
 
-def _limit_bounds(read: settings.Settings) -> rate_limits.Bounds:
-    bounds = read.organisations
+def _rate_limit_bounds(current: settings.Settings) -> rate_limits.Bounds:
+    bounds = current.organisations
     return rate_limits.Bounds(bounds.window, bounds.overshoot, bounds.slack)
 
 
-def _bounds(read: settings.Settings) -> load_balancer.RetryBudgetLimits:
-    bounds = read.budget
+def _retry_budget_limits(
+    current: settings.Settings,
+) -> load_balancer.RetryBudgetLimits:
+    budget = current.budget
     return load_balancer.RetryBudgetLimits(
-        bounds.ratio, bounds.window, bounds.reserve, bounds.calls
+        budget.ratio, budget.window, budget.reserve, budget.calls
     )
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -126,13 +126,13 @@
     Closing a connection with unread input would reset it and discard what is
     in the socket buffer.
     """
-    for served in list(proxy.served):
-        served.half_close()
+    for connection in list(proxy.server_connections):
+        connection.half_close()
     deadline = min(
         proxy.stop_deadlines.exit_at,
         proxy.clock.monotonic() + PEER_CLOSE_TIMEOUT,
     )
-    while proxy.served and proxy.clock.monotonic() < deadline:
+    while proxy.server_connections and proxy.clock.monotonic() < deadline:
         await asyncio.sleep(POLL_INTERVAL)
 
 
@@ -142,7 +142,7 @@
         proxy.stop_deadlines.exit_at,
         proxy.clock.monotonic() + FINAL_RESPONSE_TIME,
     )
-    while any(served.unsent for served in proxy.served):
+    while any(connection.unsent for connection in proxy.server_connections):
         if proxy.clock.monotonic() >= deadline:
             return
         await asyncio.sleep(POLL_INTERVAL)
--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -1,4 +1,4 @@
-"""The targets that announce themselves to this process."""
+"""Registration of the local targets by heartbeats, leaves and health checks."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,84 +18,101 @@
 
 _log = structlog.get_logger(__name__)
 
-# Heartbeats that may be missing before a target is taken for gone, and the
-# seconds that one may be late.
+# A target expires after this many missed heartbeats, plus the tolerance for a
+# late one in seconds.
 MISSED_HEARTBEATS = 3
 HEARTBEAT_TOLERANCE = 3.5
-# Times that a new process asks for the target beside it, and the pause between.
+# Health checks by which a new process discovers its local target, and the
+# seconds between them.
 DISCOVERY_ATTEMPTS = 3
 DISCOVERY_RETRY_DELAY = 0.3
-# Seconds between two looks whether a configuration is known.
+# Seconds between two checks whether a configuration is loaded.
 CONFIGURATION_POLL_INTERVAL = 0.05
-# Connections to a target of a service that the configuration does not name.
+# Maximum connections to a target whose service is not configured.
 DEFAULT_MAX_CONNECTIONS = 100
 
 
 class TargetRegistry:
-    """Takes targets in and out of use, by their word and by their silence."""
+    """Adds local targets when they announce themselves; removes them again.
+
+    Attributes:
+        settings: Current settings of the process.
+        stopping: Whether the process shuts down, so that no target accepts new
+            requests.
+    """
 
     def __init__(
         self,
-        read: settings.Settings,
+        initial: settings.Settings,
         names: header_fields.HeaderNames,
         active_catalog: catalog.ActiveCatalog,
         targets: local_targets.LocalTargets,
         clock: clocks.SystemClock,
         on_change: Callable[[], None],
     ):
-        self.settings = read
+        """Creates a registry without targets.
+
+        Args:
+            initial: Settings of the process.
+            names: Names of the platform's header fields.
+            active_catalog: The catalog that this process uses.
+            targets: The local targets, which this registry adds and removes.
+            clock: Source of time.
+            on_change: Called when a target was added, removed or renamed.
+        """
+        self.settings = initial
         self._names = names
         self._active_catalog = active_catalog
         self._local_targets = targets
         self._clock = clock
         self._on_change = on_change
-        self._heard_by_target: dict[str, float] = {}
+        self._last_seen_by_target: dict[str, float] = {}
         self._incarnations = heartbeats.IncarnationTracker(
-            self._period + HEARTBEAT_TOLERANCE
+            self._heartbeat_interval + HEARTBEAT_TOLERANCE
         )
         self.stopping = False
 
     @property
-    def _period(self) -> float:
+    def _heartbeat_interval(self) -> float:
         """Seconds between two heartbeats of a target."""
         return self.settings.platform.heartbeat_ms / 1000
 
-    def record_heartbeat(self, said: heartbeats.Heartbeat) -> None:
-        """A target announced itself."""
+    def record_heartbeat(self, heartbeat: heartbeats.Heartbeat) -> None:
+        """Records a heartbeat; adds, drains or replaces the target by it."""
         now = self._clock.monotonic()
-        before = self._incarnations.current_name(said.incarnation.target)
-        if not self._is_served(said.service):
-            # It names no target to use; what it said before holds.
+        before = self._incarnations.current_name(heartbeat.incarnation.target)
+        if not self._accepts_service(heartbeat.service):
+            # The earlier heartbeats of the target stay valid.
             invalid_input.record(
                 invalid_input.Source.HEARTBEAT,
-                f"the configuration has no service {said.service}",
-                target=said.incarnation.name,
+                f"the configuration has no service {heartbeat.service}",
+                target=heartbeat.incarnation.name,
             )
             return
-        word = self._incarnations.record_heartbeat(
-            said.incarnation, said.sequence, now
+        kind = self._incarnations.record_heartbeat(
+            heartbeat.incarnation, heartbeat.sequence, now
         )
-        if word is heartbeats.HeartbeatKind.LATE:
+        if kind is heartbeats.HeartbeatKind.LATE:
             return
-        name = said.incarnation.name
+        name = heartbeat.incarnation.name
         if before is not None and before != name:
-            self._succeed(before, name, word)
-        self._heard_by_target[name] = now
+            self._replace(before, name, kind)
+        self._last_seen_by_target[name] = now
         local_target = self._local_targets.by_name.get(name)
         if local_target is None:
-            if said.leaving:
-                # Never used here, so there is nothing to end.
-                self._incarnations.record_leave(said.incarnation, now)
+            if heartbeat.leaving:
+                # The target was never added, so there is nothing to drain.
+                self._incarnations.record_leave(heartbeat.incarnation, now)
                 return
-            local_target = self._add(said)
-        elif said.leaving:
+            local_target = self._add(heartbeat)
+        elif heartbeat.leaving:
             self._local_targets.drain(name)
-        local_target.controller.cold_until = now + said.cold
+        local_target.controller.cold_until = now + heartbeat.cold
         if self.stopping:
             self._local_targets.pause(name)
 
     def record_leave(self, incarnation: heartbeats.TargetIncarnation) -> None:
-        """A target says that it is about to end, or has."""
+        """Records that a target announced that it leaves or has left."""
         self._leave(
             self._incarnations.record_leave(
                 incarnation, self._clock.monotonic()
@@ -103,7 +120,13 @@
         )
 
     def record_remembered_leave(self, name: str) -> None:
-        """A peer remembers that a target had said so to an earlier run."""
+        """Records that a peer remembers a target as leaving.
+
+        The target announced it to an earlier run of this process.
+
+        Args:
+            name: Name of the target's incarnation.
+        """
         incarnation = heartbeats.parse_incarnation(name)
         self._leave(
             self._incarnations.record_remembered_leave(
@@ -112,10 +135,17 @@
         )
 
     def find(self, name: str) -> str | None:
-        """Name under which a target beside is kept, by any of its names."""
-        for found in (name, self._incarnations.current_name(name)):
-            if found in self._local_targets.by_name:
-                return found
+        """Returns the name under which a local target is registered.
+
+        Args:
+            name: Name of the target or of its incarnation.
+
+        Returns:
+            The registered name; None if there is no such target.
+        """
+        for registered in (name, self._incarnations.current_name(name)):
+            if registered in self._local_targets.by_name:
+                return registered
         return None
 
     def _leave(self, name: str | None) -> None:
@@ -123,69 +153,71 @@
             self._local_targets.leave(name)
             _log.info("target_left", target=name)
 
-    def _is_served(self, service: str) -> bool:
-        """Whether a service is known; any is before there are some."""
-        known = self._active_catalog.catalog.services_by_name
+    def _accepts_service(self, service: str) -> bool:
+        """Whether a service is configured; true before a catalog is loaded."""
+        configured = self._active_catalog.catalog.services_by_name
         own = self.settings.platform.service
         return (
             not self._active_catalog.loaded
-            or service in known
+            or service in configured
             or service == own
         )
 
-    def _succeed(
-        self, before: str, name: str, word: heartbeats.HeartbeatKind
+    def _replace(
+        self, before: str, name: str, kind: heartbeats.HeartbeatKind
     ) -> None:
-        """Another life of a target counts from now on, or its name is known."""
+        """Replaces an incarnation by its successor, or renames it."""
         if before not in self._local_targets.by_name:
             return
-        if word is heartbeats.HeartbeatKind.FURTHER:
+        if kind is heartbeats.HeartbeatKind.FURTHER:
             self._local_targets.rename(before, name)
-            self._heard_by_target.pop(before, None)
+            self._last_seen_by_target.pop(before, None)
             self._on_change()
             return
         _log.info("target_returned", target=name, before=before)
-        self._crashed(before)
+        self._handle_crash(before)
         self._remove(before)
 
-    def _crashed(self, name: str) -> None:
-        """A target is gone that did not say that it leaves."""
+    def _handle_crash(self, name: str) -> None:
+        """Handles the end of a target that did not announce that it leaves."""
         local_target = self._local_targets.by_name.get(name)
         if local_target is not None:
             self._local_targets.handle_crash(local_target)
 
     def _remove(self, name: str) -> None:
-        """Ends what is known of a target; what runs there has no answer."""
-        self._heard_by_target.pop(name, None)
+        """Removes a target; its running requests end without a response."""
+        self._last_seen_by_target.pop(name, None)
         if name in self._local_targets.by_name:
             self._local_targets.leave(name)
             self._local_targets.by_name.pop(name).pool.close_all()
 
     def pause_targets(self) -> None:
-        """This process stops: its targets take nothing new."""
+        """Pauses all targets, also later ones, for the shutdown."""
         self.stopping = True
         for name in list(self._local_targets.by_name):
             self._local_targets.pause(name)
 
-    def apply_catalog(self, current: catalog.Catalog) -> None:
-        """Takes the services of a new configuration, and their bounds."""
+    def apply_catalog(self, activated: catalog.Catalog) -> None:
+        """Applies connection limits; removes targets of removed services."""
         for name, local_target in list(self._local_targets.by_name.items()):
-            service = current.services_by_name.get(
+            service = activated.services_by_name.get(
                 local_target.controller.service
             )
             if service is not None:
                 local_target.pool.max_connections = service.max_connections
-            elif not self._is_served(local_target.controller.service):
+            elif not self._accepts_service(local_target.controller.service):
                 self._remove(name)
                 self._on_change()
 
     def expire(self, now: float) -> None:
-        """Forgets targets that sent no heartbeat for long."""
-        lease = MISSED_HEARTBEATS * self._period + HEARTBEAT_TOLERANCE
-        for name, heard in list(self._heard_by_target.items()):
-            if now - heard <= lease:
+        """Removes targets whose heartbeats stopped."""
+        timeout = (
+            MISSED_HEARTBEATS * self._heartbeat_interval + HEARTBEAT_TOLERANCE
+        )
+        for name, last_seen in list(self._last_seen_by_target.items()):
+            if now - last_seen <= timeout:
                 continue
-            del self._heard_by_target[name]
+            del self._last_seen_by_target[name]
             local_target = self._local_targets.by_name.pop(name, None)
             if local_target is not None:
                 _log.warning("target_expired", target=name)
@@ -193,73 +225,79 @@
                 self._on_change()
 
     async def discover_local_target(self) -> None:
-        """Finds the target beside a process that started again.
+        """Adds the configured local target if its health endpoint answers.
 
-        Its next heartbeat may be more than a second away. Its health endpoint
-        tells its name, and whether it is leaving.
+        The next heartbeat of a running target may be more than a second away
+        when this process has restarted.
         """
-        own = self.settings.platform
-        if not own.target or not own.service:
+        platform = self.settings.platform
+        if not platform.target or not platform.service:
             return
         for _ in range(DISCOVERY_ATTEMPTS):
             while not self._active_catalog.loaded:
                 await asyncio.sleep(CONFIGURATION_POLL_INTERVAL)
             service = self._active_catalog.catalog.services_by_name.get(
-                own.service
+                platform.service
             )
             if self._local_targets.by_name or self.stopping or service is None:
                 return
-            found = await health_probe.check(
-                own.target, service.health_path, self._names
+            result = await health_probe.check(
+                platform.target, service.health_path, self._names
             )
-            usable = found is not None and found.target and found.slots
-            if usable and found.healthy:
-                self._add_discovered(found)
+            usable = result is not None and result.target and result.slots
+            if usable and result.healthy:
+                self._add_discovered(result)
                 return
             await asyncio.sleep(DISCOVERY_RETRY_DELAY)
 
-    def _add_discovered(self, found: health_probe.ProbeResult) -> None:
-        own = self.settings
+    def _add_discovered(self, result: health_probe.ProbeResult) -> None:
+        current = self.settings
         now = self._clock.monotonic()
         if self.stopping or not self._incarnations.record_health_check(
-            found.target, now
+            result.target, now
         ):
             return
-        self._heard_by_target[found.target] = now
+        self._last_seen_by_target[result.target] = now
         self._add(
             heartbeats.Heartbeat(
-                heartbeats.TargetIncarnation(found.target),
-                own.platform.service,
-                own.platform.target,
-                own.process.domain,
-                found.slots,
+                heartbeats.TargetIncarnation(result.target),
+                current.platform.service,
+                current.platform.target,
+                current.process.domain,
+                result.slots,
                 leaving=False,
                 sequence=-1,
             )
         )
 
-    def _add(self, said: heartbeats.Heartbeat) -> local_targets.LocalTarget:
-        name = said.incarnation.name
+    def _add(
+        self, heartbeat: heartbeats.Heartbeat
+    ) -> local_targets.LocalTarget:
+        name = heartbeat.incarnation.name
         for other, local_target in list(self._local_targets.by_name.items()):
-            if local_target.pool.address == said.address and other != name:
-                # The address has another target now.
-                self._crashed(other)
+            if local_target.pool.address == heartbeat.address and other != name:
+                # A new target took the address, so the other one is gone.
+                self._handle_crash(other)
                 self.record_remembered_leave(other)
         service = self._active_catalog.catalog.services_by_name.get(
-            said.service
+            heartbeat.service
+        )
+        max_connections = (
+            service.max_connections if service else DEFAULT_MAX_CONNECTIONS
         )
-        most = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
         local_target = local_targets.LocalTarget(
-            said.incarnation.target,
-            admission.Controller(name, said.service, said.slots),
-            connection_pool.Pool(said.address, most, self._clock.monotonic),
+            heartbeat.incarnation.target,
+            admission.Controller(name, heartbeat.service, heartbeat.slots),
+            connection_pool.Pool(
+                heartbeat.address, max_connections, self._clock.monotonic
+            ),
         )
         self._local_targets.add(name, local_target)
         _log.info(
             "target_joined",
             target=name,
-            service=said.service,
-            address=said.address,
+            service=heartbeat.service,
+            address=heartbeat.address,
         )
         self._on_change()
         return local_target
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -468,7 +468,7 @@
         fleet.proxies[0].directory.update_own(domain="other")
         far = await fleet.proxies[0].peer_connections.get("p2")
         assert far._frames.compress
-        (served,) = fleet.proxies[2].served
+        (served,) = fleet.proxies[2].server_connections
         assert served._frames.compress
 
     processes.play(work, [[], [], []])
@@ -825,11 +825,11 @@
         one.control_protocols.announce_idle_target = lambda *said: asked.append(
             said
         )
-        one._ask_for_work(one.clock.monotonic())
+        one._announce_idle_targets(one.clock.monotonic())
         assert [name for name, _ in asked] == ["t0"]
         asked.clear()
         one.local_targets.drain("t0")
-        one._ask_for_work(one.clock.monotonic())
+        one._announce_idle_targets(one.clock.monotonic())
         assert asked == []
 
     processes.play(work, [[], []])
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -410,13 +410,13 @@
         connection = await peer.peer_connections.get("p1")
         connection.on_load_update = received.append
         connection._frames.transport.pause_reading()
-        (served,) = one.served
+        (server_connection,) = one.server_connections
         update = messages.LoadUpdate(
             "t" * 10_000, one.local_targets.by_name["t1"].controller.load(0.0)
         )
         sent = 0
-        while not unsent.fget(served):
-            served._frames.send(update)
+        while not unsent.fget(server_connection):
+            server_connection._frames.send(update)
             sent += 1
         stop = asyncio.create_task(one.stop())
         await helper.until(lambda: stop.done() or len(polls) >= 3)
@@ -441,8 +441,8 @@
             await caller.send(b"GET /a/ HTTP/1.1\r\nhost: h\r\n\r\n")
             await helper.until(
                 lambda: any(
-                    passage._claim.owner is not None
-                    for passage in one.forwarder._in_flight
+                    request._claim.owner is not None
+                    for request in one.forwarder._in_flight
                 )
             )
             one.ingress.stopping = True
@@ -482,7 +482,7 @@
         received = []
         connection = await peer.peer_connections.get("p1")
         connection.on_load_update = received.append
-        (served,) = one.served
+        (server_connection,) = one.server_connections
         update = messages.LoadUpdate(
             "t" * 10_000, one.local_targets.by_name["t1"].controller.load(0.0)
         )
@@ -493,11 +493,11 @@
         peer_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sent = 10
         for _ in range(sent):
-            served._frames.send(update)
-        assert served.unsent == 0
+            server_connection._frames.send(update)
+        assert server_connection.unsent == 0
         finished = []
-        finish = served.half_close
-        served.half_close = lambda: finished.append(finish())
+        finish = server_connection.half_close
+        server_connection.half_close = lambda: finished.append(finish())
         stop = asyncio.create_task(one.stop())
         await helper.until(lambda: finished or stop.done())
         connection.send_keepalive()
