--- a/forklift/admission.py
+++ b/forklift/admission.py
@@ -347,7 +347,7 @@
             return None
         if self.health.ejected:
             is_trial = ticket.idempotent and self.health.allows_trial(now)
-            return None if is_trial else Reason.DOUBTED
+            return None if is_trial else Reason.EJECTED
         if (
             ticket.idempotent
             or ticket.required_health is not RequiredHealth.PROVEN
@@ -421,7 +421,7 @@
         entries = self._waiting
         self._waiting = [e for e in entries if _accepts_ejected(e[1])]
         refused = [e[1] for e in entries if not _accepts_ejected(e[1])]
-        return [self._refuse(ticket, Reason.DOUBTED) for ticket in refused]
+        return [self._refuse(ticket, Reason.EJECTED) for ticket in refused]
 
     def _refuse_all(self, reason: Reason) -> list[Decision]:
         tickets = [entry[1] for entry in self._waiting]
--- a/forklift/allocator.py
+++ b/forklift/allocator.py
@@ -20,7 +20,7 @@
 
 # Seconds between two delegations of a process, and for which one is valid. A
 # few lost messages in a row don't let it expire.
-DELEGATION_PERIOD = 1.0
+DELEGATION_PERIOD_SECONDS = 1.0
 DELEGATION_SECONDS = 5.0
 # Seconds for which a lease is valid. It survives the loss of two delegations in
 # a row, and expires before the delegations that cover it.
@@ -29,14 +29,14 @@
 # single tokens, as a lease at a process without requests is of no use.
 LEASABLE_FRACTION = 0.5
 # Longest retry_after of a token grant, seconds.
-MAX_RETRY_AFTER = 10.0
+MAX_RETRY_AFTER_SECONDS = 10.0
 # After a rise of the capacity by more than this fraction of a limit, new token
 # pools hold tokens only for the time since: another allocator may have spent
 # the earlier ones.
-CAPACITY_RISE = 0.1
+NOTABLE_CAPACITY_RISE = 0.1
 # Seconds after which an unused token pool is deleted; it would be full again by
 # then.
-FORGET_AFTER = 60.0
+POOL_RETENTION_SECONDS = 60.0
 # Upper bound for the duration of a handover, seconds. Delegations that are
 # handed over expire earlier by this much.
 HANDOVER_SECONDS = 0.25
@@ -71,7 +71,7 @@
     counts_from: float = math.inf
     expires_at: float = -math.inf
     # Whether only earlier runs of this process may still count the share.
-    only_own_runs: bool = False
+    only_earlier_own_runs: bool = False
     last_sequence: int = 0
     heard_at: float = -math.inf
     issued_sequence: int = 0
@@ -185,10 +185,12 @@
         for one in self._delegator_by_name.values():
             if one.expires_at < now + LEASE_SECONDS:
                 continue
-            if one.counts_from <= now or (complete and one.only_own_runs):
+            if one.counts_from <= now or (
+                complete and one.only_earlier_own_runs
+            ):
                 delegated += one.share
         delegated = min(1.0, delegated)
-        if delegated > self._stable_capacity + CAPACITY_RISE:
+        if delegated > self._stable_capacity + NOTABLE_CAPACITY_RISE:
             self._stable_since, self._stable_capacity = now, delegated
         self._stable_capacity = min(self._stable_capacity, delegated)
         return delegated
@@ -203,7 +205,7 @@
             known = self._delegator_by_name.get(name)
             if known is None or now - known.heard_at > DELEGATION_SECONDS:
                 return False
-            if known.counts_from > now and not known.only_own_runs:
+            if known.counts_from > now and not known.only_earlier_own_runs:
                 return False
         return True
 
@@ -228,7 +230,7 @@
     def _update_share(
         self, known: _Delegator, delegation: messages.Delegation, now: float
     ) -> None:
-        known.only_own_runs = all(
+        known.only_earlier_own_runs = all(
             name == self._own.name for name, _ in delegation.previous_allocators
         )
         handed_over = all(
@@ -365,7 +367,7 @@
         bucket.tokens -= count
         wait = 0.0
         if count < demand.tokens_wanted:
-            wait = min(MAX_RETRY_AFTER, bucket.wait(limit.rate * free))
+            wait = min(MAX_RETRY_AFTER_SECONDS, bucket.wait(limit.rate * free))
         return messages.TokenGrant(demand.organisation, count, round(wait, 3))
 
     # Expiry and handover.
@@ -379,7 +381,7 @@
             ):
                 self._drop(name)
         for organisation, pool in list(self._pool_by_organisation.items()):
-            if now - pool.used_at > FORGET_AFTER:
+            if now - pool.used_at > POOL_RETENTION_SECONDS:
                 del self._pool_by_organisation[organisation]
         for boot, until in list(self._superseded.items()):
             if now > until:
--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -33,8 +33,8 @@
 # Initial and longest seconds between retries. The delay stays constant for a
 # few retries, which covers lost messages, and then doubles. The limit keeps a
 # process from lagging for long after its connections recover.
-RETRY_INITIAL = 0.25
-RETRY_MAX = 2.0
+INITIAL_RETRY_DELAY = 0.25
+MAX_RETRY_DELAY = 2.0
 RETRIES_BEFORE_BACKOFF = 3
 # Number of recent versions whose activation times are kept.
 VERSION_HISTORY = 64
@@ -55,13 +55,13 @@
     def record(self, now: float) -> None:
         """Records an attempt and schedules the next."""
         doubled = max(0, self.count - RETRIES_BEFORE_BACKOFF)
-        delay = min(RETRY_MAX, RETRY_INITIAL * 2**doubled)
+        delay = min(MAX_RETRY_DELAY, INITIAL_RETRY_DELAY * 2**doubled)
         self._next = now + delay
         self.count += 1
 
 
 @dataclasses.dataclass(frozen=True)
-class _Reported:
+class _VersionReport:
     """The version that a process last reported.
 
     Attributes:
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Holder:
+class _NewerPeer:
     """A peer that has a newer version than this process.
 
     Attributes:
@@ -109,15 +109,15 @@
         self._first_active: collections.deque[tuple[int, float]] = (
             collections.deque(maxlen=VERSION_HISTORY)
         )
-        self._reported_by_name: dict[str, _Reported] = {}
+        self._reported_by_name: dict[str, _VersionReport] = {}
         self._retries_by_name: dict[str, _Retries] = {}
-        self._holder_by_name: dict[str, _Holder] = {}
+        self._newer_peer_by_name: dict[str, _NewerPeer] = {}
         self._request_retries = _Retries()
         self._ring: list[str] = []
-        self._ring_generation = -1
+        self._ring_version = -1
 
     @property
-    def _version(self) -> int:
+    def _active_version(self) -> int:
         return self._active_catalog.catalog.version
 
     def tick(self, now: float) -> list[gossip.Send]:
@@ -128,9 +128,9 @@
 
     def is_active(self, now: float) -> bool:
         """Whether versions are being exchanged, or were until recently."""
-        if self._holder_by_name or self._retries_by_name:
+        if self._newer_peer_by_name or self._retries_by_name:
             return True
-        if self._last_reported != self._version:
+        if self._last_reported != self._active_version:
             return True
         return (
             bool(self._first_active)
@@ -141,15 +141,15 @@
         self, info: messages.ProcessInfo, now: float
     ) -> list[gossip.Send]:
         """Handles the description in a heartbeat or a join."""
-        self._record_report(info.name, _Reported(info.boot, info.config))
-        if info.config > self._version:
-            holder = _Holder(info.control, info.config, now)
-            self._record_holder(info.name, holder)
+        self._record_report(info.name, _VersionReport(info.boot, info.config))
+        if info.config > self._active_version:
+            peer = _NewerPeer(info.control, info.config, now)
+            self._record_newer_peer(info.name, peer)
             return self._request_newer(now)
-        store_delay = self._store_delay(info.name)
+        store_delay = self._allowed_store_delay(info.name)
         if info.config and not self._is_overdue(info.config, now, store_delay):
             return []
-        if info.config == self._version:
+        if info.config == self._active_version:
             return []
         return [gossip.Send(info.control, self._version_message(now))]
 
@@ -160,17 +160,17 @@
     ) -> list[gossip.Send]:
         """Handles a version report or a request from a peer."""
         name, address = message.sender.name, message.sender.control
-        self._record_report(name, _Reported(message.boot, message.version))
+        self._record_report(name, _VersionReport(message.boot, message.version))
         if isinstance(message, messages.CatalogRequest):
             return self._answer(message, now)
-        if message.version > self._version:
+        if message.version > self._active_version:
             active_since = now - message.age
-            holder = _Holder(
+            peer = _NewerPeer(
                 address, message.version, active_since, message.is_retry
             )
-            self._record_holder(name, holder)
+            self._record_newer_peer(name, peer)
             return self._request_newer(now)
-        store_delay = self._store_delay(name)
+        store_delay = self._allowed_store_delay(name)
         if message.confirm or self._is_overdue(
             message.version, now, store_delay
         ):
@@ -183,8 +183,8 @@
 
     def record_offer(self, offer: messages.CatalogOffer, now: float) -> None:
         """Records who offered a version, before the version is loaded."""
-        holder = _Holder(offer.sender.control, offer.version, now - offer.age)
-        self._record_holder(offer.sender.name, holder)
+        peer = _NewerPeer(offer.sender.control, offer.version, now - offer.age)
+        self._record_newer_peer(offer.sender.name, peer)
 
     # Sending.
 
@@ -194,17 +194,17 @@
         return messages.CatalogVersion(
             messages.sender_of(self._directory.own),
             self._directory.own.boot,
-            self._version,
-            self._age(now),
+            self._active_version,
+            self._active_version_age(now),
             confirm,
             is_retry,
         )
 
     def _report_to_predecessors(self, now: float) -> list[gossip.Send]:
         """Reports a newly loaded version to the predecessors, once."""
-        if self._last_reported == self._version:
+        if self._last_reported == self._active_version:
             return []
-        self._last_reported = self._version
+        self._last_reported = self._active_version
         self._record_loaded(now)
         version = self._version_message(now)
         return [
@@ -214,19 +214,19 @@
 
     def _record_loaded(self, now: float) -> None:
         active_since = now
-        for name, holder in list(self._holder_by_name.items()):
-            if holder.version == self._version:
-                active_since = min(active_since, holder.active_since)
-            if holder.version <= self._version:
-                del self._holder_by_name[name]
-        self._first_active.append((self._version, active_since))
+        for name, peer in list(self._newer_peer_by_name.items()):
+            if peer.version == self._active_version:
+                active_since = min(active_since, peer.active_since)
+            if peer.version <= self._active_version:
+                del self._newer_peer_by_name[name]
+        self._first_active.append((self._active_version, active_since))
         self._request_retries = _Retries()
 
     def _announce_to_successors(self, now: float) -> list[gossip.Send]:
         """Announces the version to successors until they confirm it."""
         sends = []
         for name in self.successors():
-            store_delay = self._store_delay(name)
+            store_delay = self._allowed_store_delay(name)
             if not self._is_overdue(
                 self._reported_version(name), now, store_delay
             ):
@@ -246,50 +246,52 @@
     def _answer(
         self, request: messages.CatalogRequest, now: float
     ) -> list[gossip.Send]:
-        if request.version >= self._version:
+        if request.version >= self._active_version:
             return []
         current = self._active_catalog.catalog
         offer = messages.CatalogOffer(
             messages.sender_of(self._directory.own),
             current.version,
             zlib.compress(current.record),
-            self._age(now),
+            self._active_version_age(now),
         )
         return [gossip.Send(request.sender.control, offer, request.is_retry)]
 
     # Fetching.
 
-    def _record_holder(self, name: str, holder: _Holder) -> None:
+    def _record_newer_peer(self, name: str, peer: _NewerPeer) -> None:
         """Records a peer that has a newer version."""
-        known = self._holder_by_name.get(name)
+        known = self._newer_peer_by_name.get(name)
         if known is not None:
             # Keeps the time since when it has had any newer version.
-            active_since = min(holder.active_since, known.active_since)
-            holder = dataclasses.replace(holder, active_since=active_since)
-        self._holder_by_name[name] = holder
+            active_since = min(peer.active_since, known.active_since)
+            peer = dataclasses.replace(peer, active_since=active_since)
+        self._newer_peer_by_name[name] = peer
 
     def _request_newer(self, now: float) -> list[gossip.Send]:
         """Requests the version from one of its holders, in rotation."""
-        if not self._holder_by_name or not self._request_retries.due(now):
+        if not self._newer_peer_by_name or not self._request_retries.due(now):
             return []
-        since = min(one.active_since for one in self._holder_by_name.values())
-        store_delay = self._store_delay(self._directory.own.name)
-        if self._version and now - since < store_delay:
+        since = min(
+            one.active_since for one in self._newer_peer_by_name.values()
+        )
+        store_delay = self._allowed_store_delay(self._directory.own.name)
+        if self._active_version and now - since < store_delay:
             return []
-        name, holder = next(iter(self._holder_by_name.items()))
-        del self._holder_by_name[name]
-        self._holder_by_name[name] = holder
-        is_retry = self._request_retries.count > 0 or holder.is_retry
+        name, peer = next(iter(self._newer_peer_by_name.items()))
+        del self._newer_peer_by_name[name]
+        self._newer_peer_by_name[name] = peer
+        is_retry = self._request_retries.count > 0 or peer.is_retry
         self._request_retries.record(now)
         own = self._directory.own
         request = messages.CatalogRequest(
-            messages.sender_of(own), own.boot, self._version, is_retry
+            messages.sender_of(own), own.boot, self._active_version, is_retry
         )
-        return [gossip.Send(holder.address, request, is_retry)]
+        return [gossip.Send(peer.address, request, is_retry)]
 
     # Peers.
 
-    def _record_report(self, name: str, reported: _Reported) -> None:
+    def _record_report(self, name: str, reported: _VersionReport) -> None:
         """Records the version that a process reported.
 
         Reports of earlier runs are ignored. A new run may have an older version
@@ -327,17 +329,17 @@
                 return now - active_since >= after
         return False
 
-    def _store_delay(self, name: str) -> float:
+    def _allowed_store_delay(self, name: str) -> float:
         """Seconds that the store has to deliver a version to a process.
 
         The store notifies readers only; others depend on peers at once.
         """
         return PEER_FALLBACK_DELAY if self._readers.includes(name) else 0.0
 
-    def _age(self, now: float) -> float:
+    def _active_version_age(self, now: float) -> float:
         """Seconds since the active version was first active anywhere."""
         for version, active_since in reversed(self._first_active):
-            if version == self._version:
+            if version == self._active_version:
                 return round(now - active_since, 3)
         return 0.0
 
@@ -349,10 +351,10 @@
 
     def _at_distances(self, direction: int) -> list[str]:
         """Processes at the ring distances; direction 1 is after, -1 before."""
-        if self._ring_generation != self._directory.generation:
-            self._ring_generation = self._directory.generation
+        if self._ring_version != self._directory.membership_version:
+            self._ring_version = self._directory.membership_version
             self._ring = self._ring_order()
-            self._forget()
+            self._forget_departed()
         size = len(self._ring)
         own = self._ring.index(self._directory.own.name)
         places = [
@@ -362,7 +364,7 @@
         ]
         return [self._ring[(own + place) % size] for place in places]
 
-    def _forget(self) -> None:
+    def _forget_departed(self) -> None:
         """Drops the state of processes that left the directory."""
         for by_name in (self._reported_by_name, self._retries_by_name):
             for name in set(by_name) - set(self._directory.member_by_name):
--- a/forklift/errors.py
+++ b/forklift/errors.py
@@ -103,12 +103,12 @@
     """An internal invariant does not hold.
 
     Attributes:
-        promise: Name of the invariant.
+        invariant: Name of the invariant.
     """
 
-    def __init__(self, promise: str, detail: str):
-        self.promise = promise
+    def __init__(self, invariant: str, detail: str):
+        self.invariant = invariant
         super().__init__(
-            f"invariant {promise} is broken: {detail}; "
+            f"invariant {invariant} is violated: {detail}; "
             "keep the state dump and report it as a defect"
         )
--- a/forklift/gossip.py
+++ b/forklift/gossip.py
@@ -85,11 +85,11 @@
         self._next_sync = 0.0
         self._next_expiry = 0.0
         self._peers: list[str] = []
-        self._peers_generation = -1
+        self._peers_version = -1
 
     def peers(self) -> list[str]:
         """Names of the peers that are pinged, at most `MAX_PEERS`."""
-        if self._peers_generation != self.directory.generation:
+        if self._peers_version != self.directory.membership_version:
             names = [
                 name
                 for name, member in self.directory.member_by_name.items()
@@ -99,7 +99,7 @@
             if len(names) > MAX_PEERS:
                 own = self.directory.own.name
                 self._peers = rendezvous.select(own, names, MAX_PEERS)
-            self._peers_generation = self.directory.generation
+            self._peers_version = self.directory.membership_version
         return self._peers
 
     @property
--- a/forklift/heartbeats.py
+++ b/forklift/heartbeats.py
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass
-class _Current:
+class _CurrentIncarnation:
     """The current incarnation of a target.
 
     Attributes:
@@ -135,7 +135,7 @@
                 incarnation sends at least one heartbeat within this time.
         """
         self.max_delay = max_delay
-        self._current_by_target: dict[str, _Current] = {}
+        self._current_by_target: dict[str, _CurrentIncarnation] = {}
         self._ended: dict[TargetIncarnation, None] = {}
 
     def current_name(self, target: str) -> str | None:
@@ -210,7 +210,9 @@
         if any(incarnation.target == target for incarnation in self._ended):
             return False
         self._keep(
-            _Current(TargetIncarnation(target), now, now, start_unknown=True)
+            _CurrentIncarnation(
+                TargetIncarnation(target), now, now, start_unknown=True
+            )
         )
         return True
 
@@ -230,7 +232,7 @@
         current = self._current_by_target.get(incarnation.target)
         if current is None and not incarnation.started_ms:
             current = self._keep(
-                _Current(incarnation, now, now, start_unknown=True)
+                _CurrentIncarnation(incarnation, now, now, start_unknown=True)
             )
         if current is not None and not incarnation.started_ms:
             return self._end(current, now)
@@ -264,7 +266,7 @@
             return self._end(current, now)
         return None
 
-    def _end(self, current: _Current, now: float) -> str:
+    def _end(self, current: _CurrentIncarnation, now: float) -> str:
         current.has_left, current.last = True, now
         self._record_end(current.incarnation)
         return current.incarnation.name
@@ -272,10 +274,10 @@
     def _begin(
         self, incarnation: TargetIncarnation, sequence: int, now: float
     ) -> HeartbeatKind:
-        self._keep(_Current(incarnation, now, now, sequence))
+        self._keep(_CurrentIncarnation(incarnation, now, now, sequence))
         return HeartbeatKind.FIRST
 
-    def _silent(self, current: _Current, now: float) -> bool:
+    def _silent(self, current: _CurrentIncarnation, now: float) -> bool:
         """Whether the current one is silent and no delayed heartbeat is due."""
         return (
             now - current.last > self.max_delay
@@ -288,7 +290,7 @@
         while len(self._ended) > MAX_REMEMBERED:
             del self._ended[next(iter(self._ended))]
 
-    def _keep(self, current: _Current) -> _Current:
+    def _keep(self, current: _CurrentIncarnation) -> _CurrentIncarnation:
         self._current_by_target.pop(current.incarnation.target, None)
         self._current_by_target[current.incarnation.target] = current
         while len(self._current_by_target) > MAX_REMEMBERED:
--- a/forklift/limiter.py
+++ b/forklift/limiter.py
@@ -19,7 +19,7 @@
 # Seconds without an answer after which this process selects another allocator.
 # The loss of two delegations in a row does not exceed it; failure detection by
 # gossip takes longer.
-ALLOCATOR_TIMEOUT = 2.2 * allocators.DELEGATION_PERIOD
+ALLOCATOR_TIMEOUT = 2.2 * allocators.DELEGATION_PERIOD_SECONDS
 # Seconds between two selections of the allocators.
 ASSIGNMENT_PERIOD = 0.25
 
@@ -84,7 +84,7 @@
         self._allocator_by_shard: dict[int, allocators.Allocator] = {}
         # Allocators that did not answer and sent nothing since.
         self._unresponsive: set[str] = set()
-        self._candidate_names: list[str] = [directory.own.name]
+        self._allocator_names: list[str] = [directory.own.name]
         self._next_assignment = 0.0
 
     def mark_alive(self, name: str) -> None:
@@ -102,7 +102,7 @@
             return []
         self._next_assignment = now + ASSIGNMENT_PERIOD
         self._detect_unresponsive(now)
-        self._candidate_names = self._find_candidates()
+        self._allocator_names = self._allocator_candidates()
         self.quota.tick(now)
         sends = []
         for shard in range(local_quota.SHARD_COUNT):
@@ -201,7 +201,7 @@
                 self._unresponsive.add(self._allocator_of_shard(shard))
         self._unresponsive &= set(self._directory.member_by_name)
 
-    def _find_candidates(self) -> list[str]:
+    def _allocator_candidates(self) -> list[str]:
         """Names of usable processes that answer and are not draining."""
         own = self._directory.own.name
         return [
@@ -213,7 +213,7 @@
 
     def _allocator_of_shard(self, shard: int) -> str:
         """Name of the process selected as allocator of a shard."""
-        names = self._candidate_names or [self._directory.own.name]
+        names = self._allocator_names or [self._directory.own.name]
         salt = f"limits-{shard}"
         return max(names, key=lambda name: (rendezvous.score(salt, name), name))
 
--- a/forklift/local_quota.py
+++ b/forklift/local_quota.py
@@ -24,7 +24,7 @@
 # Seconds over which the arrival rate of an organisation is measured.
 DEMAND_WINDOW_SECONDS = 4.0
 # An organisation needs no lease if its requests are farther apart, seconds.
-MAX_REQUEST_INTERVAL = 10.0
+MAX_REQUEST_INTERVAL_SECONDS = 10.0
 # Number of delegations to an allocator whose answers are still accepted.
 MAX_PENDING_DELEGATIONS = 16
 # Bounds of the time for which requests are rejected without asking, after the
@@ -33,7 +33,7 @@
 MIN_EXHAUSTED_SECONDS = 0.05
 MAX_EXHAUSTED_SECONDS = 0.5
 # Seconds without requests after which an organisation is forgotten.
-FORGET_AFTER = 30.0
+USAGE_RETENTION_SECONDS = 30.0
 
 
 class Decision(enum.Enum):
@@ -253,7 +253,7 @@
         if state.allocator != name or state.unanswered_since is None:
             state.unanswered_since = now
         state.allocator = name
-        state.next_delegation = now + allocator.DELEGATION_PERIOD
+        state.next_delegation = now + allocator.DELEGATION_PERIOD_SECONDS
         exchange = state.exchange_by_name.setdefault(name, _Exchange())
         exchange.last_sent += 1
         exchange.sent_at[exchange.last_sent] = now
@@ -317,7 +317,7 @@
         for name in sorted(state.organisations):
             usage = self.usage_by_organisation[name]
             rate = usage.rate(now)
-            if rate >= 1 / MAX_REQUEST_INTERVAL or usage.tokens_wanted:
+            if rate >= 1 / MAX_REQUEST_INTERVAL_SECONDS or usage.tokens_wanted:
                 yield messages.Demand(name, round(rate, 3), usage.tokens_wanted)
             usage.tokens_wanted = 0
 
@@ -377,6 +377,6 @@
     def tick(self, now: float) -> None:
         """Forgets organisations without recent requests."""
         for name, usage in list(self.usage_by_organisation.items()):
-            if now - usage.seen_at > FORGET_AFTER:
+            if now - usage.seen_at > USAGE_RETENTION_SECONDS:
                 del self.usage_by_organisation[name]
                 self._shards[shard_of(name)].organisations.discard(name)
--- a/forklift/membership.py
+++ b/forklift/membership.py
@@ -66,7 +66,7 @@
         self._full_membership_limit = full_membership_limit
         self.member_by_name: dict[str, Member] = {}
         # Rises when a process joins, leaves or changes its services.
-        self.generation = 0
+        self.membership_version = 0
         self._changed = {own.name}
         self._digest = 0
 
@@ -85,7 +85,7 @@
         self.own = messages.ProcessInfo(**fields)
         self._changed.add(self.own.name)
         if services(self.own) != before:
-            self.generation += 1
+            self.membership_version += 1
             self._rebuild_digest()
         return self.own
 
@@ -267,15 +267,15 @@
         self._digest ^= self._member_hash(member)
         if old is not None:
             self._digest ^= self._member_hash(old)
-        if old is None or _affects_generation(old, member):
-            self.generation += 1
+        if old is None or _changes_membership(old, member):
+            self.membership_version += 1
 
     def _forget(self, name: str) -> None:
         old = self.member_by_name.pop(name, None)
         if old is not None:
             self._digest ^= self._member_hash(old)
         self._changed.add(name)
-        self.generation += 1
+        self.membership_version += 1
 
     def _member_hash(self, member: Member) -> int:
         """What a member adds to the digest; 0 if it is out of scope."""
@@ -292,7 +292,7 @@
             self._digest ^= self._member_hash(member)
 
 
-def _affects_generation(old: Member, new: Member) -> bool:
+def _changes_membership(old: Member, new: Member) -> bool:
     if old.usable != new.usable:
         return True
     return services(old.info) != services(new.info)
--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -38,7 +38,7 @@
     CANCELLED = "cancelled"
     CONNECT_FAILED = "connect-failed"
     DEADLINE = "deadline"
-    DOUBTED = "doubted"
+    EJECTED = "doubted"
     DRAINING = "draining"
     FENCED = "fenced"
     LIMITED = "limited"
--- a/forklift/platform/endpoints.py
+++ b/forklift/platform/endpoints.py
@@ -30,13 +30,13 @@
 # Integers up to this one are represented exactly by all JSON parsers.
 MAX_SAFE_INTEGER = 2**53
 _TARGET_NAME = re.compile(r"[!-~]{1,200}")
-_Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
-_Word = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-# Start time of this run of a target in Unix milliseconds; 0 if unknown.
-_Born = Annotated[int, msgspec.Meta(ge=1, le=MAX_SAFE_INTEGER)]
+_SequenceNumber = Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
+_ServiceName = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+# Start time of this run of a target in Unix milliseconds; absent if unknown.
+_StartTime = Annotated[int, msgspec.Meta(ge=1, le=MAX_SAFE_INTEGER)]
 
 
-class _State(enum.Enum):
+class _ReportedState(enum.Enum):
     READY = "ready"
     DRAINING = "draining"
 
@@ -46,7 +46,7 @@
 
 
 class _Info(_TargetMessage):
-    service: _Word
+    service: _ServiceName
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     # The failure domain.
     zone: str = ""
@@ -55,9 +55,9 @@
 
 
 class _Status(_TargetMessage):
-    state: _State
+    state: _ReportedState
     # Increases with each call of one run of a target; detects reordered calls.
-    sequence: _Count
+    sequence: _SequenceNumber
     # Remaining warm-up time of the target.
     cold_remaining_ms: Annotated[
         float, msgspec.Meta(ge=0, le=MAX_WARMUP_MS)
@@ -68,11 +68,11 @@
     address: str
     info: _Info
     status: _Status
-    born: _Born | msgspec.UnsetType = msgspec.UNSET
+    born: _StartTime | msgspec.UnsetType = msgspec.UNSET
 
 
 class _Deregistration(_TargetMessage):
-    born: _Born | msgspec.UnsetType = msgspec.UNSET
+    born: _StartTime | msgspec.UnsetType = msgspec.UNSET
 
 
 _heartbeat_decoder = msgspec.json.Decoder(_Heartbeat)
@@ -154,7 +154,7 @@
         address=address,
         domain=message.info.zone,
         slots=message.info.slots,
-        leaving=message.status.state is _State.DRAINING,
+        leaving=message.status.state is _ReportedState.DRAINING,
         sequence=message.status.sequence,
         cold=message.status.cold_remaining_ms / MILLISECONDS_PER_SECOND,
     )
--- a/forklift/platform/store.py
+++ b/forklift/platform/store.py
@@ -115,11 +115,11 @@
             "from": position,
             "wait-ms": int(wait * 1000),
         }
-        self._check_epoch(self.epoch)
+        self._require_position_epoch(self.epoch)
         found = await self._call(
             "GET", "/log-read", query, wait + LONG_POLL_MARGIN
         )
-        self._check_epoch(found.epoch)
+        self._require_position_epoch(found.epoch)
         end, _, records = _split_records(found.body)
         found = None
         for record in records:
@@ -213,7 +213,7 @@
         except client.RequestFailed as error:
             self.failures += 1
             raise errors.RegistryUnavailable(str(error)) from error
-        epoch = self._update_epoch(response)
+        epoch = self._record_epoch(response)
         if response.status == _GONE:
             raise errors.RegistryGap()
         if response.status == _PRECONDITION_FAILED:
@@ -223,7 +223,7 @@
             raise errors.RegistryUnavailable(f"status {response.status}")
         return _StoreResponse(response.body, epoch)
 
-    def _update_epoch(self, response: client.Response) -> int:
+    def _record_epoch(self, response: client.Response) -> int:
         """Records and returns the epoch of a response.
 
         Raises:
@@ -242,7 +242,7 @@
             self.on_lost()
         return epoch
 
-    def _check_epoch(self, epoch: int | None) -> None:
+    def _require_position_epoch(self, epoch: int | None) -> None:
         """Checks that the current position is valid in an epoch.
 
         Raises:
@@ -319,4 +319,4 @@
     return value_by_key, last
 
 
-decode = configuration.decode
+decode_configuration = configuration.decode
--- a/forklift/retries.py
+++ b/forklift/retries.py
@@ -55,7 +55,7 @@
     Reason.CONNECT_FAILED,
     Reason.PEER_LOST,
     Reason.UNKNOWN_TARGET,
-    Reason.DOUBTED,
+    Reason.EJECTED,
     Reason.UNPROVEN,
     Reason.MISDIRECTED,
 )
--- a/forklift/settings.py
+++ b/forklift/settings.py
@@ -128,7 +128,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Organisations:
+class RateLimitTolerances:
     """Section [organisations]: tolerances of the rate limits."""
 
     window: float = ini.key(
@@ -166,7 +166,7 @@
     platform: Platform
     limits: Limits = Limits()
     budget: Budget = Budget()
-    organisations: Organisations = Organisations()
+    organisations: RateLimitTolerances = RateLimitTolerances()
 
 
 SECTIONS = {
@@ -174,7 +174,7 @@
     "platform": Platform,
     "limits": Limits,
     "budget": Budget,
-    "organisations": Organisations,
+    "organisations": RateLimitTolerances,
 }
 
 
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -34,7 +34,7 @@
     proxy = proxies.Proxy(
         initial,
         store.Store(initial.platform.store),
-        store.decode,
+        store.decode_configuration,
         platform_headers.PLATFORM,
     )
     admin_server = admin.AdminServer(proxy)
--- a/forklift/store_readers.py
+++ b/forklift/store_readers.py
@@ -24,12 +24,12 @@
     def __init__(self, directory: membership.Directory):
         self._directory = directory
         self._names: frozenset[str] = frozenset()
-        self._generation = -1
+        self._membership_version = -1
 
     def includes(self, name: str) -> bool:
         """Whether a process is a reader."""
-        if self._generation != self._directory.generation:
-            self._generation = self._directory.generation
+        if self._membership_version != self._directory.membership_version:
+            self._membership_version = self._directory.membership_version
             self._names = self._choose()
         return name in self._names
 
--- a/forklift/ui/publish.py
+++ b/forklift/ui/publish.py
@@ -32,13 +32,13 @@
     # Imported here because other commands don't need the store.
     from forklift.platform import store  # noqa: PLC0415
 
-    configuration = _decode(store.decode, data)
+    configuration = _decode(store.decode_configuration, data)
     registry = store.Store(address)
     try:
         current = await registry.configuration()
         current_version = 0
         if current.record is not None:
-            current_version = store.decode(current.record).version
+            current_version = store.decode_configuration(current.record).version
         if configuration.version <= current_version:
             raise errors.PublishConflict(current_version)
         change = f"version {current_version} -> {configuration.version}"
--- a/test/processes.py
+++ b/test/processes.py
@@ -76,7 +76,9 @@
             settings.Budget(1.0, 10.0, 100.0),
         )
         store = adapter.Store(self.server.address)
-        one = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
+        one = proxy.Proxy(
+            read, store, adapter.decode_configuration, header_fields.DEFAULT
+        )
         await one.start()
         self.proxies.append(one)
         self.announce(one, number)
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -128,9 +128,9 @@
     controller.admit(waiting, 0.0)
     refused = controller.finish(running, Signal.BROKEN, 0.1)
     assert [(d.ticket, d.reason) for d in refused] == [
-        (waiting, Reason.DOUBTED)
+        (waiting, Reason.EJECTED)
     ]
-    assert controller.admit(ticket(), 0.2).reason is Reason.DOUBTED
+    assert controller.admit(ticket(), 0.2).reason is Reason.EJECTED
 
 
 def test_ejected_target_gets_one_trial_request_at_a_time():
@@ -140,18 +140,18 @@
     trial = ticket(idempotent=True)
     assert isinstance(controller.admit(trial, later), admission.Start)
     second = controller.admit(ticket(idempotent=True), later)
-    assert second.reason is Reason.DOUBTED
+    assert second.reason is Reason.EJECTED
 
 
 def test_only_idempotent_requests_may_run_on_an_ejected_target():
     """Other requests would be lost, and hold a slot until their deadline."""
     controller = make_controller()
     break_connections(controller, 0.0)
-    assert controller.admit(ticket(), 0.1).reason is Reason.DOUBTED
+    assert controller.admit(ticket(), 0.1).reason is Reason.EJECTED
     one = ticket(required_health=admission.RequiredHealth.ANY, idempotent=True)
     assert isinstance(controller.admit(one, 0.1), admission.Start)
     once = ticket(required_health=admission.RequiredHealth.ANY)
-    assert controller.admit(once, 0.1).reason is Reason.DOUBTED
+    assert controller.admit(once, 0.1).reason is Reason.EJECTED
 
 
 def test_non_idempotent_request_requires_a_proven_target():
@@ -183,7 +183,7 @@
     assert not controller.health.ejected
     refused = controller.tick(0.6)
     assert [(d.ticket, d.reason) for d in refused] == [
-        (waiting, Reason.DOUBTED)
+        (waiting, Reason.EJECTED)
     ]
     assert controller.health.signal is Signal.OVERDUE
     assert controller.running == len(tickets)
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -127,7 +127,7 @@
     found.run(5.0)
     found.fall_silent()
     found.cut.clear()
-    found.run(dissemination.RETRY_MAX + fleet.TICK)
+    found.run(dissemination.MAX_RETRY_DELAY + fleet.TICK)
     assert found.node_by_name["p3"].version == 2
 
 
@@ -221,8 +221,10 @@
         assert again.new_connection and again.message.is_retry
         pauses.append(rig.now - before)
     for pause in pauses[:steady]:
-        assert pause == pytest.approx(dissemination.RETRY_INITIAL, abs=0.06)
-    assert pauses[-1] == pytest.approx(dissemination.RETRY_MAX, abs=0.06)
+        assert pause == pytest.approx(
+            dissemination.INITIAL_RETRY_DELAY, abs=0.06
+        )
+    assert pauses[-1] == pytest.approx(dissemination.MAX_RETRY_DELAY, abs=0.06)
     rig.told("peer", 2)
     assert rig.tick(60.0) == []
 
--- a/test/test_fuzz.py
+++ b/test/test_fuzz.py
@@ -86,7 +86,7 @@
 @fuzz_settings
 def test_configuration_records_raise_documented_errors(data):
     try:
-        store.decode(data)
+        store.decode_configuration(data)
     except configuration.InvalidRecord:
         return
 
--- a/test/test_limits.py
+++ b/test/test_limits.py
@@ -570,5 +570,5 @@
 def test_unused_organisation_is_forgotten():
     found = local_quota_of_process()
     found.admit("o", 0.0)
-    found.tick(local_quota.FORGET_AFTER + 1.0)
+    found.tick(local_quota.USAGE_RETENTION_SECONDS + 1.0)
     assert not found.usage_by_organisation
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -282,7 +282,7 @@
         new = proxy.Proxy(
             settings.Settings(process, platform),
             store,
-            adapter.decode,
+            adapter.decode_configuration,
             header_fields.DEFAULT,
         )
         fleet.proxies.append(new)
@@ -503,7 +503,9 @@
         )
         read = settings.Settings(process, platform)
         store = adapter.Store(platform.store)
-        one = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
+        one = proxy.Proxy(
+            read, store, adapter.decode_configuration, header_fields.DEFAULT
+        )
         await one.start()
         assert one.directory.own.peer == "127.0.0.1:9"
         assert one.directory.own.control == "127.0.0.1:10"
@@ -676,7 +678,9 @@
         fleet.store.go_away()
         read = dataclasses.replace(old.settings, process=fixed)
         store = adapter.Store(fleet.server.address)
-        new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
+        new = proxy.Proxy(
+            read, store, adapter.decode_configuration, header_fields.DEFAULT
+        )
         fleet.proxies.insert(0, new)
         await new.start()
         fleet.announce(new, 0)
@@ -700,7 +704,9 @@
         await old.close()
         read = dataclasses.replace(old.settings, process=fixed)
         store = adapter.Store(fleet.server.address)
-        new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
+        new = proxy.Proxy(
+            read, store, adapter.decode_configuration, header_fields.DEFAULT
+        )
         fleet.proxies.insert(0, new)
         await new.start()
         lives = new.target_registry._incarnations
@@ -727,7 +733,9 @@
         await helper.until(lambda: len(picked(other)) == 1)
         read = dataclasses.replace(old.settings, process=fixed)
         store = adapter.Store(fleet.server.address)
-        new = proxy.Proxy(read, store, adapter.decode, header_fields.DEFAULT)
+        new = proxy.Proxy(
+            read, store, adapter.decode_configuration, header_fields.DEFAULT
+        )
         fleet.proxies.insert(0, new)
         await new.start()
         await helper.until(lambda: new.control_protocols.has_joined)
@@ -863,7 +871,7 @@
             one = proxy.Proxy(
                 read,
                 adapter.Store(listening.address),
-                adapter.decode,
+                adapter.decode_configuration,
                 header_fields.DEFAULT,
             )
             await one.start()
--- a/test/test_silent_connections.py
+++ b/test/test_silent_connections.py
@@ -29,9 +29,9 @@
         # connection. The requested catalog is lost too and requested again.
         dissemination.PEER_FALLBACK_DELAY
         + TICK
-        + dissemination.RETRY_INITIAL
+        + dissemination.INITIAL_RETRY_DELAY
         + TICK
-        + dissemination.RETRY_INITIAL
+        + dissemination.INITIAL_RETRY_DELAY
         + TICK
         + 4 * ONE_WAY_LATENCY,
         2.0,
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -42,7 +42,7 @@
             fixture.store.configure(record(3))
             fixture.store.configure(record(5))
             found = await fixture.adapter.configuration()
-            assert adapter.decode(found.record).version == 5
+            assert adapter.decode_configuration(found.record).version == 5
             assert found.position == 2
 
     helper.run(work())
@@ -59,7 +59,7 @@
             await helper.until(lambda: fixture.store.calls > calls)
             fixture.store.configure(record(7))
             found = await waiting
-            assert adapter.decode(found.record).version == 7
+            assert adapter.decode_configuration(found.record).version == 7
             again = await fixture.adapter.next_configuration(
                 found.position, 0.0
             )
@@ -77,7 +77,7 @@
             with pytest.raises(errors.RegistryGap):
                 await fixture.adapter.next_configuration(0, 0.0)
             found = await fixture.adapter.configuration()
-            assert adapter.decode(found.record).version == 7
+            assert adapter.decode_configuration(found.record).version == 7
 
     helper.run(work())
 
@@ -125,7 +125,9 @@
             follower = store_follower.StoreFollower(
                 fixture.adapter,
                 random.Random(1),
-                lambda data: seen.append(adapter.decode(data).version),
+                lambda data: seen.append(
+                    adapter.decode_configuration(data).version
+                ),
             )
             task = asyncio.create_task(follower.run())
             fixture.store.configure(record(1))
