--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -1,4 +1,4 @@
-"""Whole processes: requests, targets and the configuration."""
+"""Tests of complete processes: requests, targets and configuration."""
 
 import asyncio
 import dataclasses
@@ -34,16 +34,16 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    """Pauses that only tests need shorter."""
+    """Shortens delays for the tests."""
     monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.05)
     monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
 
 
-def test_a_request_is_served_by_any_process():
+def test_request_is_served_by_any_process():
     async def work(fleet):
         for number in range(3):
-            answer = await fleet.ask(number)
-            assert (answer.status, answer.body) == (200, scripted.BODY)
+            response = await fleet.ask(number)
+            assert (response.status, response.body) == (200, scripted.BODY)
         origins = {
             received.field(header_fields.DEFAULT.origin)
             for target in fleet.targets
@@ -55,10 +55,10 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "error", "garbage", "refuse"])
-def test_repeatable_work_goes_to_another_target(fault):
+def test_idempotent_request_is_retried_at_another_target(fault):
     async def work(fleet):
-        answer = await fleet.ask()
-        assert answer.status == 200
+        response = await fleet.ask()
+        assert response.status == 200
         assert fleet.runs() == 2
 
     processes.play(
@@ -67,31 +67,31 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "garbage", "close"])
-def test_work_that_must_not_repeat_runs_once_and_ends_unknown(fault):
+def test_non_idempotent_request_runs_once_and_ends_unknown(fault):
     async def work(fleet):
-        answer = await fleet.ask()
-        assert answer.status == 502
+        response = await fleet.ask()
+        assert response.status == 502
         assert fleet.runs() == 1
 
     first = processes.record(1, r=processes.route("non_idempotent"))
     processes.play(work, [[fault], [fault]], first=first)
 
 
-def test_work_that_must_not_repeat_moves_on_after_a_true_refusal():
+def test_non_idempotent_request_is_retried_after_a_rejection():
     async def work(fleet):
         share_script(fleet, "refuse")
-        answer = await fleet.ask()
-        assert answer.status == 200
+        response = await fleet.ask()
+        assert response.status == 200
         assert fleet.runs() == 2
 
     first = processes.record(1, r=processes.route("non_idempotent"))
     processes.play(work, [[], []], first=first)
 
 
-def test_a_draining_target_takes_no_new_work():
+def test_draining_target_gets_no_new_requests():
     async def work(fleet):
         fleet.announce(fleet.proxies[0], 0, leaving=True, sequence=2)
-        # A late heartbeat from before changes nothing.
+        # An older heartbeat that arrives late is ignored.
         fleet.announce(fleet.proxies[0], 0, leaving=False, sequence=1)
         for _ in range(5):
             assert (await fleet.ask(0)).status == 200
@@ -101,7 +101,7 @@
     processes.play(work, [[], []])
 
 
-def test_a_target_that_left_is_not_taken_back():
+def test_target_that_left_is_not_added_again():
     async def work(fleet):
         fleet.proxies[0].target_registry.record_leave(
             heartbeats.TargetIncarnation("t0")
@@ -113,7 +113,7 @@
     processes.play(work, [[], []])
 
 
-def test_a_gate_is_told_by_when_a_request_must_have_started():
+def test_ticket_has_the_latest_start():
     async def work(fleet):
         seen = []
         serving = fleet.proxies[1].local_targets
@@ -131,19 +131,19 @@
     processes.play(work, [[], []])
 
 
-def test_an_idle_target_is_used_before_waiting_at_a_busy_one():
+def test_idle_target_is_preferred_to_queueing_at_a_busy_one():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
             one.local_targets.by_name[f"t{number}"].controller.slots = 1
         for target in fleet.targets:
             target.script.append("hold")
-        asked = [asyncio.create_task(fleet.ask(0)) for _ in range(2)]
+        pending = [asyncio.create_task(fleet.ask(0)) for _ in range(2)]
         await helper.until(
             lambda: all(len(t.received) == 1 for t in fleet.targets)
         )
         for target in fleet.targets:
             target.release.set()
-        assert [(await one).status for one in asked] == [200, 200]
+        assert [(await one).status for one in pending] == [200, 200]
 
     first = processes.record(
         1, r=processes.route("non_idempotent", **{"timeout-ms": 60000})
@@ -151,12 +151,12 @@
     processes.play(work, [[], []], first=first)
 
 
-def test_what_no_gate_takes_in_time_is_given_up_at_once():
+def test_request_that_no_target_can_start_in_time_is_rejected_at_once():
     async def work(fleet):
         for number, one in enumerate(fleet.proxies):
             found = one.local_targets.by_name[f"t{number}"].controller
             found.slots = 1
-            # One run takes longer than any request has.
+            # The expected latency is longer than any deadline.
             helper.train_latency(found.latencies.for_route("r", 1.0), 100.0)
         for target in fleet.targets:
             target.script.append("hold")
@@ -164,10 +164,10 @@
         await helper.until(
             lambda: all(len(t.received) == 1 for t in fleet.targets)
         )
-        sends = fleet.proxies[0].forwarder.attempts
-        answer = await fleet.ask(0)
-        assert answer.status == 503
-        assert fleet.proxies[0].forwarder.attempts <= sends + 3 * len(held)
+        attempts = fleet.proxies[0].forwarder.attempts
+        response = await fleet.ask(0)
+        assert response.status == 503
+        assert fleet.proxies[0].forwarder.attempts <= attempts + 3 * len(held)
         for target in fleet.targets:
             target.release.set()
         assert [(await one).status for one in held] == [200] * 3
@@ -178,7 +178,7 @@
     processes.play(work, [[], [], []], first=first)
 
 
-def test_repeatable_work_is_sent_to_no_more_targets_than_its_route_allows():
+def test_attempts_do_not_exceed_the_limit_of_the_route():
     async def work(fleet):
         assert (await fleet.ask()).status == 500
         assert fleet.runs() == 2
@@ -186,25 +186,27 @@
     processes.play(work, [["error"] * 9] * 4)
 
 
-def test_the_budget_bounds_repeats():
+def test_retry_budget_limits_retries():
     async def work(fleet):
         fleet.proxies[0].balancer.set_retry_limits(
             load_balancer.RetryBudgetLimits(0.0, 1000.0, 3.0)
         )
         for _ in range(8):
             assert (await fleet.ask()).status == 500
-        # Of the three that two processes share, 0.9 of this one's half.
+        # Each of the two processes has half of the budget of 3 retries, and
+        # may spend 0.9 of its half.
         assert fleet.runs() == 8 + 1
 
     processes.play(work, [["error"] * 30, ["error"] * 30])
 
 
-def test_a_repeat_leaves_the_budget_of_services_that_it_can_not_call():
-    """The configuration tells: a call is shorter than the run that makes it."""
+def test_retry_charges_only_services_that_it_may_call():
+    """A service can only call services whose latency objective is shorter."""
 
     async def work(fleet):
         one = fleet.proxies[0]
-        # One repeat for each service, and none where another's run may call.
+        # One retry for each service, and none if a call of another service
+        # may have caused the request.
         one.balancer.set_retry_limits(
             load_balancer.RetryBudgetLimits(0.0, 1000.0, 4.0, 1.0)
         )
@@ -231,8 +233,8 @@
     processes.play(work, [["error"] * 9, ["error"] * 9], first=first)
 
 
-def test_a_version_that_a_peer_brought_ends_the_read_that_waits():
-    """It may hang on a connection that fell silent."""
+def test_version_from_a_peer_ends_the_pending_read():
+    """The read may hang on an unresponsive connection."""
 
     async def work(fleet):
         one = fleet.proxies[0]
@@ -251,7 +253,7 @@
     processes.play(work, [[]])
 
 
-def test_reads_of_the_store_wait_by_how_many_processes_there_are():
+def test_store_read_interval_depends_on_the_number_of_processes():
     async def work(fleet):
         one = fleet.proxies[0]
         waits = []
@@ -264,7 +266,7 @@
     processes.play(work, [[]])
 
 
-def test_a_process_counts_others_only_once_it_has_met_them():
+def test_process_counts_peers_only_after_joining():
     async def work(fleet):
         fleet.store.go_away()
         process = settings.Process(
@@ -287,7 +289,7 @@
         )
         fleet.proxies.append(new)
         await new.start()
-        # News is taken over, and still nobody else is known.
+        # Updates were applied, and no peer is known yet.
         new.control_protocols.tick(new.clock.monotonic())
         assert new.balancer.process_count == 0
         fleet.store.away = False
@@ -296,7 +298,7 @@
     processes.play(work, [[], [], []])
 
 
-def test_no_policy_sends_work_that_must_not_repeat_again():
+def test_no_policy_retries_a_non_idempotent_request():
     async def work(fleet):
         text = "[policy]\nname = p\n[service default]\nretry = true\n"
         fleet.proxies[0].policy = policy.parse("p", text)
@@ -307,11 +309,11 @@
     processes.play(work, [["reset"], ["reset"]], first=first)
 
 
-def test_a_request_that_finds_no_target_ends_at_its_limit_as_not_run():
+def test_request_without_a_target_ends_at_its_deadline_as_not_run():
     async def work(fleet):
         fleet.proxies[0].local_targets.drain("t0")
-        answer = await fleet.ask()
-        assert answer.status == 503
+        response = await fleet.ask()
+        assert response.status == 503
         assert fleet.runs() == 0
 
     processes.play(
@@ -321,22 +323,22 @@
     )
 
 
-def test_callers_that_are_refused_together_are_told_to_return_one_by_one():
+def test_retry_after_has_jitter():
     async def work(fleet):
         one = fleet.proxies[0]
         one.forwarder.rng = random.Random(1)
         one.local_targets.drain("t0")
-        answers = await asyncio.gather(*(fleet.ask() for _ in range(5)))
-        assert [answer.status for answer in answers] == [503] * 5
-        told = {come_back(answer) for answer in answers}
-        assert len(told) == len(answers)
+        responses = await asyncio.gather(*(fleet.ask() for _ in range(5)))
+        assert [response.status for response in responses] == [503] * 5
+        told = {retry_after(response) for response in responses}
+        assert len(told) == len(responses)
         assert min(told) >= forwarding.RETRY_AFTER
         assert max(told) <= forwarding.RETRY_AFTER * (
             1 + retries.RETRY_AFTER_JITTER
         )
 
-    def come_back(answer: client.Response) -> float:
-        (value,) = (v for n, v in answer.headers if n == b"retry-after")
+    def retry_after(response: client.Response) -> float:
+        (value,) = (v for n, v in response.headers if n == b"retry-after")
         return float(value)
 
     processes.play(
@@ -346,18 +348,18 @@
     )
 
 
-def test_an_earlier_run_of_a_guard_is_never_said_not_to_have_run():
+def test_fence_request_for_an_earlier_boot_is_not_confirmed():
     async def work(fleet):
-        link = await fleet.proxies[0].peer_connections.get("p1")
+        connection = await fleet.proxies[0].peer_connections.get("p1")
         boot = fleet.proxies[1].boot
-        assert await link.fence(1, 1, boot)
-        assert not await link.fence(1, 2, boot + 1)
+        assert await connection.fence(1, 1, boot)
+        assert not await connection.fence(1, 2, boot + 1)
 
     processes.play(work, [[], []])
 
 
 def share_script(fleet, *entries: str) -> None:
-    """Whichever target is asked next follows the next entry."""
+    """Makes the targets follow one script, in the order of the requests."""
     shared = list(entries)
     for target in fleet.targets:
         target.script = shared
@@ -366,11 +368,11 @@
     )
 
 
-def test_a_slow_request_that_may_repeat_is_also_sent_to_a_second_target():
+def test_slow_idempotent_request_is_hedged():
     async def work(fleet):
         share_script(fleet, "hold")
-        answer = await fleet.ask()
-        assert (answer.status, answer.body) == (200, scripted.BODY)
+        response = await fleet.ask()
+        assert (response.status, response.body) == (200, scripted.BODY)
         assert fleet.runs() == 2
         assert fleet.proxies[0].forwarder.hedges == 1
 
@@ -378,22 +380,24 @@
     processes.play(work, [[], [], []], first=first)
 
 
-def test_second_sends_keep_to_the_targets_that_the_route_allows(monkeypatch):
-    """A second target that refuses was sent to, too: there is no third."""
-    looks = count_looks(monkeypatch)
+def test_hedges_count_towards_the_attempt_limit_of_the_route(monkeypatch):
+    """A hedge that its target rejects counts as an attempt."""
+    selections = record_hedge_selections(monkeypatch)
 
     async def work(fleet):
         share_script(fleet, "hold", "refuse")
-        asked = asyncio.create_task(fleet.ask())
+        pending = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() >= 2)
-        # The first target is still at it, and the third one is free.
-        before = len(looks)
-        await helper.until(lambda: fleet.runs() > 2 or len(looks) >= before + 5)
+        # The first attempt is still in flight, and the third target is free.
+        before = len(selections)
+        await helper.until(
+            lambda: fleet.runs() > 2 or len(selections) >= before + 5
+        )
         assert fleet.runs() == 2
-        assert not any(looks[before:])
+        assert not any(selections[before:])
         for target in fleet.targets:
             target.release.set()
-        assert (await asked).status == 200
+        assert (await pending).status == 200
         assert fleet.runs() == 2
         assert fleet.proxies[0].forwarder.hedges == 1
 
@@ -401,54 +405,54 @@
     processes.play(work, [[], [], []], first=first)
 
 
-def count_looks(monkeypatch) -> list[bool]:
-    """Looks for a second target, by whether one was found."""
-    looks = []
+def record_hedge_selections(monkeypatch) -> list[bool]:
+    """Records for each selection of a hedge whether there was a target."""
+    selections = []
 
     class HedgedRequest(hedging.HedgedRequest):
-        def __init__(self, turn, begin, second, note):
-            def look(*arguments):
-                found = second(*arguments)
-                looks.append(found is not None)
+        def __init__(self, claim, start_attempt, select_hedge, record_failure):
+            def select(*arguments):
+                found = select_hedge(*arguments)
+                selections.append(found is not None)
                 return found
 
-            super().__init__(turn, begin, look, note)
+            super().__init__(claim, start_attempt, select, record_failure)
 
     monkeypatch.setattr(hedging, "HEDGE_RETRY_DELAY", 0.001)
     monkeypatch.setattr(hedging, "HedgedRequest", HedgedRequest)
-    return looks
+    return selections
 
 
-def test_the_first_target_still_answers_where_the_second_one_fails():
+def test_first_response_is_used_if_the_hedge_fails():
     async def work(fleet):
         share_script(fleet, "hold", "error")
-        asked = asyncio.create_task(fleet.ask())
+        pending = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 2)
         for target in fleet.targets:
             target.release.set()
-        answer = await asked
-        assert (answer.status, answer.body) == (200, scripted.BODY)
+        response = await pending
+        assert (response.status, response.body) == (200, scripted.BODY)
         assert fleet.runs() == 2
 
     first = processes.record(1, r=processes.route(**{"timeout-ms": 60000}))
     processes.play(work, [[], [], []], first=first)
 
 
-def test_work_that_must_not_repeat_is_never_sent_to_a_second_target():
+def test_non_idempotent_request_is_never_hedged():
     async def work(fleet):
         share_script(fleet, "hold")
         assert (await fleet.ask()).status == 504
         assert fleet.runs() == 1
         assert fleet.proxies[0].forwarder.hedges == 0
 
-    # Long after a second attempt would have been due.
+    # Long after the hedge delay.
     first = processes.record(
         1, r=processes.route("non_idempotent", **{"timeout-ms": 1500})
     )
     processes.play(work, [[], [], []], first=first)
 
 
-def test_a_second_attempt_is_taken_from_the_budget():
+def test_hedge_is_charged_to_the_retry_budget():
     async def work(fleet):
         bounds = load_balancer.RetryBudgetLimits(0.0, 10.0, 0.0)
         fleet.proxies[0].balancer.set_retry_limits(bounds)
@@ -461,20 +465,20 @@
     processes.play(work, [[], [], []], first=first)
 
 
-def test_only_paths_between_failure_domains_are_compressed():
+def test_only_connections_between_failure_domains_are_compressed():
     async def work(fleet):
         near = await fleet.proxies[0].peer_connections.get("p1")
         assert not near._frames.compress
         fleet.proxies[0].directory.update_own(domain="other")
         far = await fleet.proxies[0].peer_connections.get("p2")
         assert far._frames.compress
-        (served,) = fleet.proxies[2].server_connections
-        assert served._frames.compress
+        (connection,) = fleet.proxies[2].server_connections
+        assert connection._frames.compress
 
     processes.play(work, [[], [], []])
 
 
-def test_an_entry_is_told_of_the_target_beside_without_a_request():
+def test_local_target_is_known_without_a_request():
     async def work(fleet):
         one = fleet.proxies[0]
         (view,) = [v for v in one.balancer.views("s") if v.process == "p0"]
@@ -486,7 +490,7 @@
     processes.play(work, [[], []])
 
 
-def test_peers_are_told_where_they_reach_a_process():
+def test_public_addresses_are_announced_to_peers():
     async def work():
         process = settings.Process(
             "p",
@@ -514,7 +518,7 @@
     helper.run(work())
 
 
-def test_work_that_hangs_has_its_final_answer_at_the_routes_limit():
+def test_hanging_request_ends_at_the_timeout_of_the_route():
     async def work(fleet):
         assert (await fleet.ask()).status == 504
         assert fleet.runs() == 1
@@ -525,69 +529,69 @@
     processes.play(work, [["hang"], ["hang"]], first=first)
 
 
-def test_a_hang_up_reaches_the_target_through_another_process():
+def test_cancellation_reaches_the_target_through_a_peer():
     async def work(fleet):
         fleet.proxies[0].local_targets.drain("t0")
         fleet.targets[1].script.append("hang")
-        asked = asyncio.create_task(fleet.ask(0))
+        pending = asyncio.create_task(fleet.ask(0))
         await helper.until(lambda: len(fleet.targets[1].received) == 1)
-        asked.cancel()
+        pending.cancel()
         await helper.until(lambda: fleet.targets[1].hung_up >= 1)
 
     processes.play(work, [[], []])
 
 
-def test_what_must_not_repeat_runs_to_its_end_though_its_caller_is_gone():
+def test_non_idempotent_request_completes_after_its_caller_is_gone():
     async def work(fleet):
         fleet.proxies[0].local_targets.drain("t0")
         target = fleet.targets[1]
         target.script.append("hold")
-        asked = asyncio.create_task(fleet.ask(0))
+        pending = asyncio.create_task(fleet.ask(0))
         await helper.until(lambda: len(target.received) == 1)
-        asked.cancel()
+        pending.cancel()
         other = fleet.proxies[1].local_targets
         await helper.until(lambda: other._detached)
         target.release.set()
         await helper.until(lambda: not other._detached)
-        # The connection was returned whole: nothing was broken off.
+        # The connection is back in the pool, as the response was complete.
         assert other.by_name["t1"].pool.open_count == 1
 
     first = processes.record(1, r=processes.route("non_idempotent"))
     processes.play(work, [[], []], first=first)
 
 
-def test_what_must_not_repeat_is_fenced_around_a_silent_path():
+def test_non_idempotent_request_is_fenced_through_a_relay():
     async def work(fleet):
-        entry = fleet.proxies[0]
-        entry.local_targets.drain("t0")
-        link = await entry.peer_connections.get("p1")
-        await entry.peer_connections.get("p2")
-        # One way is cut: what is sent to p1 is lost, and nothing says so.
-        link._frames.send = lambda frame: None
+        ingress = fleet.proxies[0]
+        ingress.local_targets.drain("t0")
+        connection = await ingress.peer_connections.get("p1")
+        await ingress.peer_connections.get("p2")
+        # What is sent to p1 is lost without an error.
+        connection._frames.send = lambda frame: None
         fleet.proxies[2].local_targets.drain("t2")
         await helper.until(
             lambda: (
                 sum(
                     view.state(0.0) is State.IN_SERVICE
-                    for view in entry.balancer.views("s")
+                    for view in ingress.balancer.views("s")
                 )
                 == 1
             )
         )
-        asked = asyncio.create_task(fleet.ask(0))
+        pending = asyncio.create_task(fleet.ask(0))
         await helper.until(
-            lambda: not entry.balancer.reachability.is_reachable("p1")
+            lambda: not ingress.balancer.reachability.is_reachable("p1")
         )
         fences = fleet.proxies[1].local_targets.fences
         await helper.until(lambda: len(fences) == 1)
-        # Proven not to run there, it goes to another one in time.
+        # It is proven not to run there, so it is sent to another target.
         fleet.announce(
             fleet.proxies[2],
             2,
             incarnation=heartbeats.TargetIncarnation("t9"),
             sequence=1,
         )
-        assert (await asked).status == 200
+        assert (await pending).status == 200
         assert fleet.targets[1].received == []
 
     first = processes.record(
@@ -596,28 +600,28 @@
     processes.play(work, [[], [], []], first=first)
 
 
-def test_a_guard_that_was_paused_refuses_what_is_older():
+def test_paused_process_rejects_stale_requests():
     async def work(fleet):
         fleet.proxies[0].local_targets.drain("t0")
         await fleet.proxies[0].peer_connections.get("p1")
         fleet.proxies[1].incarnation += 1
         seen = []
-        served = fleet.proxies[1].local_targets.run
+        run_original = fleet.proxies[1].local_targets.run
 
         async def run(*arguments):
             seen.append(arguments)
-            return await served(*arguments)
+            return await run_original(*arguments)
 
         fleet.proxies[1].local_targets.run = run
         assert (await fleet.ask(0)).status == 200
-        # The first send was refused as stale before it came to the gate.
+        # The first attempt was rejected as stale before admission control.
         assert len(seen) == 1
         assert fleet.proxies[0].forwarder.attempts >= 2
 
     processes.play(work, [[], []])
 
 
-def test_a_target_without_heartbeats_for_long_is_gone():
+def test_target_without_heartbeats_expires():
     async def work(fleet):
         one = fleet.proxies[0]
         now = one.clock.monotonic()
@@ -629,7 +633,7 @@
     processes.play(work, [[]])
 
 
-def test_a_process_without_configuration_is_not_ready_and_says_so():
+def test_process_without_configuration_is_not_ready():
     async def work(fleet):
         assert not fleet.proxies[0].ready()
         assert (await fleet.ask()).status == 503
@@ -637,7 +641,7 @@
     processes.play(work, [[]], first={})
 
 
-def test_a_change_is_in_force_everywhere_and_none_goes_back():
+def test_configuration_reaches_all_processes_and_never_goes_back():
     async def work(fleet):
         fleet.store.configure(
             processes.record(5, r=processes.route(**{"path-prefix": "/b/"}))
@@ -667,7 +671,7 @@
     processes.play(work, [[], []])
 
 
-def test_one_that_starts_while_the_store_is_away_is_met_by_its_peers():
+def test_process_joins_its_peers_while_the_store_is_unavailable():
     async def work(fleet):
         old = fleet.proxies.pop(0)
         own = old.settings.process
@@ -690,7 +694,7 @@
     processes.play(work, [[], []])
 
 
-def test_one_that_started_again_is_reminded_of_what_had_left():
+def test_restarted_process_is_reminded_of_targets_that_left():
     async def work(fleet):
         old = fleet.proxies.pop(0)
         old.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
@@ -709,18 +713,18 @@
         )
         fleet.proxies.insert(0, new)
         await new.start()
-        lives = new.target_registry._incarnations
+        tracker = new.target_registry._incarnations
         await helper.until(
-            lambda: heartbeats.TargetIncarnation("t0") in lives._ended
+            lambda: heartbeats.TargetIncarnation("t0") in tracker._ended
         )
-        # A heartbeat that was late comes to the new run.
+        # A delayed heartbeat arrives at the restarted process.
         fleet.announce(new, 0)
         assert "t0" not in new.local_targets.by_name
 
     processes.play(work, [[], []])
 
 
-def test_a_target_is_back_after_a_planned_stop_of_its_process():
+def test_target_is_back_after_a_planned_restart_of_its_process():
     async def work(fleet):
         old = fleet.proxies.pop(0)
         other = fleet.proxies[0]
@@ -753,7 +757,7 @@
     processes.play(work, [[], []])
 
 
-def test_an_address_used_again_ends_the_target_before():
+def test_target_leaves_when_its_address_is_reused():
     async def work(fleet):
         one = fleet.proxies[0]
         said = heartbeats.Heartbeat(
@@ -775,7 +779,7 @@
     processes.play(work, [[]])
 
 
-def test_a_process_that_is_not_known_is_avoided_not_asked_for_ever():
+def test_unknown_process_is_avoided():
     async def work(fleet):
         one = fleet.proxies[0]
         one.local_targets.drain("t0")
@@ -786,39 +790,39 @@
             1,
         )  # fmt: skip
         one.balancer.update_process(info)
-        asked = asyncio.create_task(fleet.ask())
+        pending = asyncio.create_task(fleet.ask())
         await helper.until(
             lambda: not one.balancer.reachability.is_reachable("ghost")
         )
-        sends = one.forwarder.attempts
+        attempts = one.forwarder.attempts
         for _ in range(200):
             await asyncio.sleep(0)
-        assert one.forwarder.attempts <= sends + 1
+        assert one.forwarder.attempts <= attempts + 1
         fleet.announce(
             one, 0, incarnation=heartbeats.TargetIncarnation("t7"), sequence=1
         )
-        assert (await asked).status == 200
+        assert (await pending).status == 200
 
     processes.play(work, [[]])
 
 
-def test_a_target_whose_process_has_no_callers_asks_others_for_work():
-    """Others go on with targets that they know to be well."""
+def test_idle_target_without_callers_is_announced_to_peers():
+    """Peers otherwise keep using targets that they know to be healthy."""
 
     async def work(fleet):
-        asked = []
+        announced = []
         other = fleet.proxies[1].balancer
         note = other.record_work_request
 
         def heard(target, load, now):
-            asked.append((target, load.idle > proxy.IDLE_TARGET_TIME))
+            announced.append((target, load.idle > proxy.IDLE_TARGET_TIME))
             note(target, load, now)
 
         other.record_work_request = heard
-        await helper.until(lambda: asked)
-        assert set(asked) == {("t0", True)}
+        await helper.until(lambda: announced)
+        assert set(announced) == {("t0", True)}
         fleet.targets[0].received.clear()
-        # The first may go to the target beside, which has had none yet.
+        # The first one may be sent to the local target, which has had none.
         for _ in range(2):
             await fleet.ask(1)
         assert len(fleet.targets[0].received) == 1
@@ -826,24 +830,24 @@
     processes.play(work, [[], []])
 
 
-def test_a_leaving_target_asks_for_no_work():
+def test_leaving_target_is_not_announced_as_idle():
     async def work(fleet):
         one = fleet.proxies[0]
-        asked = []
-        one.control_protocols.announce_idle_target = lambda *said: asked.append(
-            said
+        announced = []
+        one.control_protocols.announce_idle_target = lambda *said: (
+            announced.append(said)
         )
         one._announce_idle_targets(one.clock.monotonic())
-        assert [name for name, _ in asked] == ["t0"]
-        asked.clear()
+        assert [name for name, _ in announced] == ["t0"]
+        announced.clear()
         one.local_targets.drain("t0")
         one._announce_idle_targets(one.clock.monotonic())
-        assert asked == []
+        assert announced == []
 
     processes.play(work, [[], []])
 
 
-def test_the_target_beside_is_found_by_its_health():
+def test_local_target_is_discovered_by_a_health_probe():
     async def work():
         store = standin.Store()
         listening = server.Server(store.handle)
@@ -884,7 +888,7 @@
     helper.run(work())
 
 
-def test_a_leaving_target_is_not_found_by_its_health():
+def test_health_probe_of_a_leaving_target_is_not_healthy():
     async def work():
         async with scripted.ScriptedTarget(name="t0") as target:
             target.leaving = True
@@ -898,35 +902,37 @@
 
 @pytest.mark.parametrize("known", [True, False])
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
-def test_a_link_lost_before_the_first_frame_is_not_a_lost_caller(kind, known):
-    """Nothing was sent on it, so the request goes elsewhere, and is no repeat.
+def test_connection_lost_before_the_first_frame_is_no_retry(kind, known):
+    """Nothing was sent, so the request moves on without counting as a retry.
 
-    The loop tells of the loss in a later turn; nothing is sent before that
-    either.
+    The event loop reports the loss in a later iteration; nothing is sent before
+    that either.
     """
 
     async def work(fleet):
-        entry = fleet.proxies[0]
-        entry.local_targets.drain("t0")
-        get = entry.peer_connections.get
+        ingress = fleet.proxies[0]
+        ingress.local_targets.drain("t0")
+        get = ingress.peer_connections.get
         lost = []
 
         async def lose_the_first(process):
-            link = await get(process)
+            connection = await get(process)
             if not lost:
                 lost.append(process)
-                link.close()
+                connection.close()
                 if known:
-                    links = entry.peer_connections.connection_by_process
-                    await helper.until(lambda: links.get(process) is not link)
-            return link
-
-        entry.peer_connections.get = lose_the_first
-        answer = await fleet.ask(0)
+                    connections = ingress.peer_connections.connection_by_process
+                    await helper.until(
+                        lambda: connections.get(process) is not connection
+                    )
+            return connection
+
+        ingress.peer_connections.get = lose_the_first
+        response = await fleet.ask(0)
         assert lost
-        assert answer.status == 200
+        assert response.status == 200
         assert fleet.runs() == 1
-        assert entry.forwarder.retries == 0
+        assert ingress.forwarder.retries == 0
 
     processes.play(
         work, [[], [], []], first=processes.record(1, r=processes.route(kind))
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -66,8 +66,8 @@
     async def work(fleet):
         crash_on(fleet, b"/a/deadly ")
         for turn in range(12):
-            answer = await fleet.ask(turn % len(fleet.proxies), "/a/deadly")
-            assert answer.status in (502, 503)
+            response = await fleet.ask(turn % len(fleet.proxies), "/a/deadly")
+            assert response.status in (502, 503)
             await revive(fleet)
         assert crashes(fleet) <= CRASHES_TO_QUARANTINE + TOLERATED_CRASHES
 
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_requests_concurrent_with_a_crashing_one_are_served_again(kind):
-    """Guards against quarantining the requests that ran beside the cause.
+    """Guards against quarantining the requests concurrent with the cause.
 
     If all were retried together on the next target, they would crash again
     together and could not be told apart.
@@ -88,8 +88,8 @@
         await revive(fleet)
         for turn in range(len(fleet.proxies)):
             for path in INNOCENT:
-                answer = await fleet.ask(turn, path)
-                assert (answer.status, answer.body) == (200, scripted.BODY)
+                response = await fleet.ask(turn, path)
+                assert (response.status, response.body) == (200, scripted.BODY)
         assert crashes(fleet) <= CRASHES_TO_QUARANTINE + TOLERATED_CRASHES
 
     first = processes.record(1, r=processes.route(kind))
@@ -108,12 +108,12 @@
     ]
     await helper.until(lambda: fleet.runs() == len(innocent))
     crash_on(fleet, b"/a/deadly ")
-    answer = await fleet.ask(0, "/a/deadly")
+    response = await fleet.ask(0, "/a/deadly")
     # The request waits for an idle target. It may start late, if the requests
     # that block the targets time out just before it does.
-    assert answer.status in (502, 503, 504)
-    not_run = json.loads(answer.body)["outcome"] == "not-run"
-    assert not_run == (answer.status == 503)
+    assert response.status in (502, 503, 504)
+    not_run = json.loads(response.body)["outcome"] == "not-run"
+    assert not_run == (response.status == 503)
     for target in fleet.targets:
         target.release.set()
         target.script.clear()
@@ -126,7 +126,7 @@
     async def work(fleet):
         seen = []
         for one in fleet.proxies:
-            note(one.local_targets, seen)
+            record_tickets(one.local_targets, seen)
         fleet.targets[0].crashes_on = b"/a/ "
         assert (await fleet.ask(0)).status == 200
         assert [ticket.exclusive for ticket in seen] == [False, True]
@@ -134,15 +134,15 @@
     processes.play(work, [[], []])
 
 
-def note(beside, seen: list[admission.Ticket]) -> None:
+def record_tickets(targets, seen: list[admission.Ticket]) -> None:
     """Records the tickets that reach the targets of one process."""
-    run = beside.run
+    run = targets.run
 
-    async def noted(target, ticket, *rest):
+    async def recorded(target, ticket, *rest):
         seen.append(ticket)
         return await run(target, ticket, *rest)
 
-    beside.run = noted
+    targets.run = recorded
 
 
 @pytest.mark.parametrize("fault", ["reset", "close", "short", "garbage"])
@@ -217,9 +217,9 @@
                 )
             )
         )
-        answer = await fleet.ask(0, "/a/deadly")
-        assert answer.status == 503
-        assert float(http.value(answer.headers, b"retry-after")) > 60
+        response = await fleet.ask(0, "/a/deadly")
+        assert response.status == 503
+        assert float(http.value(response.headers, b"retry-after")) > 60
         assert crashes(fleet) == before
 
     processes.play(work, [[], [], []])
@@ -241,9 +241,9 @@
     async def work(fleet):
         one = fleet.proxies[0]
         before, real = one.incarnation, time.clock_gettime
-        asked = []
+        pending = []
         monkeypatch.setattr(
-            one.control_protocols, "handle_pause", lambda: asked.append(1)
+            one.control_protocols, "handle_pause", lambda: pending.append(1)
         )
 
         def later(which: int) -> float:
@@ -253,7 +253,7 @@
         monkeypatch.setattr(time, "clock_gettime", later)
         assert (await fleet.ask()).status == 200
         assert one.incarnation > before
-        assert asked
+        assert pending
 
     processes.play(work, [[], []])
 
@@ -296,9 +296,9 @@
     async def work(fleet):
         one = fleet.proxies[0]
         quarantine_locally(one)
-        answer = await fleet.ask(0, "/a/deadly")
-        assert answer.status == 503
-        assert float(http.value(answer.headers, b"retry-after")) > 60
+        response = await fleet.ask(0, "/a/deadly")
+        assert response.status == 503
+        assert float(http.value(response.headers, b"retry-after")) > 60
         assert one.forwarder.attempts == 0
         # The path with another query has another fingerprint.
         assert (await fleet.ask(0, "/a/deadly?x")).status == 200
@@ -313,8 +313,8 @@
         ingress, other = fleet.proxies
         ingress.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
         quarantine_locally(other)
-        answer = await fleet.ask(0, "/a/deadly")
-        assert answer.status == 503
+        response = await fleet.ask(0, "/a/deadly")
+        assert response.status == 503
         assert ingress.forwarder.attempts == 1
         assert fleet.runs() == 0
 
@@ -400,9 +400,9 @@
         runs = asyncio.create_task(fleet.ask(1))
         await helper.until(lambda: fleet.runs() == 1)
         quarantine_locally(other)
-        answer = await fleet.ask(0, "/a/deadly")
-        assert answer.status == 503
-        assert float(http.value(answer.headers, b"retry-after")) > 60
+        response = await fleet.ask(0, "/a/deadly")
+        assert response.status == 503
+        assert float(http.value(response.headers, b"retry-after")) > 60
         assert not runs.done()
         fleet.targets[1].release.set()
         assert (await runs).status == 200
@@ -418,14 +418,14 @@
         ingress, other = fleet.proxies
         ingress.target_registry.record_leave(heartbeats.TargetIncarnation("t0"))
         suspect_locally(other)
-        gate_of = other.local_targets.by_name["t1"].controller
-        arrive, seen = gate_of.admit, []
+        controller = other.local_targets.by_name["t1"].controller
+        admit, seen = controller.admit, []
 
-        def noted(ticket, now):
+        def recorded(ticket, now):
             seen.append(ticket.exclusive)
-            return arrive(ticket, now)
+            return admit(ticket, now)
 
-        gate_of.admit = noted
+        controller.admit = recorded
         assert (await fleet.ask(0, "/a/deadly")).status == 200
         assert seen == [True]
 
@@ -439,7 +439,7 @@
             suspect_locally(process)
         for target in fleet.targets:
             target.script.append("hold")
-        asked = asyncio.create_task(fleet.ask(0, "/a/deadly"))
+        pending = asyncio.create_task(fleet.ask(0, "/a/deadly"))
         await helper.until(lambda: fleet.runs() == 1)
         # Another request of the same route is hedged.
         other = asyncio.create_task(fleet.ask(0))
@@ -448,7 +448,7 @@
         assert sum(b"/a/deadly " in head for head in paths) == 1
         for target in fleet.targets:
             target.release.set()
-        assert [(await asked).status, (await other).status] == [200, 200]
+        assert [(await pending).status, (await other).status] == [200, 200]
 
     first = processes.record(1, r=processes.route(**{"timeout-ms": 60000}))
     processes.play(work, [[], [], []], first=first)
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -1,4 +1,4 @@
-"""One request on a target that may answer in any way."""
+"""Requests to a target that may misbehave in any way."""
 
 import asyncio
 
@@ -18,13 +18,13 @@
 
 
 class Sink:
-    """Keeps what is passed on."""
+    """Records the response."""
 
     def __init__(self):
         self.has_started = False
         self.head = None
         self.body = b""
-        self.whole = False
+        self.complete = False
 
     async def start(self, head: exchange.Head) -> None:
         self.has_started = True
@@ -34,7 +34,7 @@
         self.body += piece
 
     async def end(self) -> None:
-        self.whole = True
+        self.complete = True
 
 
 def request(number: int = 1, **changes) -> exchange.Request:
@@ -61,32 +61,32 @@
     return exchange.Request(**fields)
 
 
-async def go(
+async def execute(
     pool: connection_pool.Pool, sent: exchange.Request, sink: Sink
 ) -> int:
-    run = upstream.UpstreamRequest(
+    upstream_request = upstream.UpstreamRequest(
         pool, sent, "t-1", "t-1", header_fields.DEFAULT, NOW
     )
-    return await run.execute(lambda: None, lambda: None, sink)
+    return await upstream_request.execute(lambda: None, lambda: None, sink)
 
 
-def pool_of(target: scripted.ScriptedTarget) -> connection_pool.Pool:
+def new_pool(target: scripted.ScriptedTarget) -> connection_pool.Pool:
     return connection_pool.Pool(target.address, 10, NOW)
 
 
-def play(*script: str, requests: int = 1, **changes):
-    """Sends requests in turn; returns target, pool, sinks and outcomes."""
+def run_script(*script: str, requests: int = 1, **changes):
+    """Sends requests in sequence; returns target, pool, sinks and outcomes."""
 
     async def work():
         async with scripted.ScriptedTarget(*script) as target:
-            pool = pool_of(target)
+            pool = new_pool(target)
             sinks, outcomes = [], []
             for number in range(1, requests + 1):
                 sink = Sink()
                 sinks.append(sink)
                 try:
                     sent = request(number, **changes)
-                    outcomes.append(await go(pool, sent, sink))
+                    outcomes.append(await execute(pool, sent, sink))
                 except (
                     connection_pool.NotRun,
                     upstream.IncompleteResponse,
@@ -98,12 +98,12 @@
     return helper.run(work())
 
 
-def test_passes_request_and_answer_on():
-    target, _, sinks, outcomes = play("well")
+def test_forwards_request_and_response():
+    target, _, sinks, outcomes = run_script("well")
     received = target.received[0]
     assert outcomes == [200]
     assert sinks[0].body == scripted.BODY
-    assert sinks[0].whole
+    assert sinks[0].complete
     assert received.head.startswith(b"POST /a/b?c=%20d HTTP/1.1\r\n")
     assert received.body == b"body"
     assert received.field(b"x-other") == b"kept"
@@ -116,29 +116,29 @@
 @pytest.mark.parametrize(
     "fault", ["reset", "close", "garbage", "short", "unframed-reset"]
 )
-def test_a_broken_answer_never_begins(fault):
-    _, pool, sinks, outcomes = play(fault)
+def test_incomplete_response_is_not_forwarded(fault):
+    _, pool, sinks, outcomes = run_script(fault)
     assert outcomes == [(upstream.IncompleteResponse, Reason.TARGET_BROKE)]
     assert not sinks[0].has_started
     assert pool.open_count == 0
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole():
-    _, pool, sinks, outcomes = play("unframed")
+def test_response_ended_by_connection_close_is_complete():
+    _, pool, sinks, outcomes = run_script("unframed")
     assert outcomes == [200]
     assert sinks[0].body == scripted.BODY
     assert sinks[0].head.length == len(scripted.BODY)
     assert pool.open_count == 0
 
 
-def test_a_stray_answer_is_dropped_and_ours_awaited():
-    _, _, sinks, outcomes = play("stray-before")
+def test_stray_response_is_skipped():
+    _, _, sinks, outcomes = run_script("stray-before")
     assert outcomes == [200]
     assert sinks[0].body == scripted.BODY
 
 
-def test_nothing_left_behind_reaches_the_next_request():
-    target, _, sinks, outcomes = play("extra-after", requests=2)
+def test_connection_with_extra_data_is_not_reused():
+    target, _, sinks, outcomes = run_script("extra-after", requests=2)
     assert outcomes == [200, 200]
     assert [sink.body for sink in sinks] == [scripted.BODY] * 2
     assert target.connections == 2
@@ -148,14 +148,14 @@
     ("fault", "reason"),
     [("refuse", Reason.SHED), ("misdirected", Reason.MISDIRECTED)],
 )
-def test_a_refusal_is_not_run(fault, reason):
-    _, _, sinks, outcomes = play(fault)
+def test_rejection_is_reported_as_not_run(fault, reason):
+    _, _, sinks, outcomes = run_script(fault)
     assert outcomes == [(connection_pool.NotRun, reason)]
     assert not sinks[0].has_started
 
 
-def test_a_failure_of_its_own_is_passed_on_as_it_is():
-    _, _, sinks, outcomes = play("error")
+def test_error_response_is_forwarded_unchanged():
+    _, _, sinks, outcomes = run_script("error")
     assert outcomes == [500]
     assert sinks[0].head.status == 500
     fields = dict(sinks[0].head.headers)
@@ -163,35 +163,35 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_connections_are_kept(idempotent):
-    target, pool, _, _ = play(requests=3, idempotent=idempotent)
+def test_connections_are_reused(idempotent):
+    target, pool, _, _ = run_script(requests=3, idempotent=idempotent)
     assert target.connections == 1
     assert pool.reused == 2
 
 
-def test_a_closing_answer_ends_its_connection():
-    target, _, _, outcomes = play("closing", requests=2)
+def test_connection_close_is_respected():
+    target, _, _, outcomes = run_script("closing", requests=2)
     assert outcomes == [200, 200]
     assert target.connections == 2
 
 
-def test_a_refused_connection_is_not_run():
+def test_refused_connection_is_reported_as_not_run():
     async def work():
         async with scripted.ScriptedTarget() as target:
-            pool = pool_of(target)
+            pool = new_pool(target)
         with pytest.raises(connection_pool.NotRun) as caught:
-            await go(pool, request(), Sink())
+            await execute(pool, request(), Sink())
         assert caught.value.reason is Reason.CONNECT_FAILED
         assert pool.open_count == 0
 
     helper.run(work())
 
 
-def test_a_launch_that_is_forbidden_sends_nothing():
+def test_request_that_must_not_start_is_not_sent():
     async def work():
         async with scripted.ScriptedTarget() as target:
-            run = upstream.UpstreamRequest(
-                pool_of(target),
+            upstream_request = upstream.UpstreamRequest(
+                new_pool(target),
                 request(),
                 "t-1",
                 "t-1",
@@ -199,14 +199,16 @@
                 NOW,
             )
             with pytest.raises(connection_pool.NotRun) as caught:
-                await run.execute(lambda: Reason.FENCED, lambda: None, Sink())
+                await upstream_request.execute(
+                    lambda: Reason.FENCED, lambda: None, Sink()
+                )
             assert caught.value.reason is Reason.FENCED
             assert target.received == []
 
     helper.run(work())
 
 
-def test_an_early_answer_to_a_long_body_ends_its_connection():
+def test_early_response_to_a_streamed_body_closes_the_connection():
     async def work():
         more = asyncio.Event()
 
@@ -216,27 +218,27 @@
             yield b"never"
 
         async with scripted.ScriptedTarget() as target:
-            pool = pool_of(target)
+            pool = new_pool(target)
             sink = Sink()
-            # The stand-in reads bodies by their length and answers at once
-            # where it finds none.
-            long = exchange.Body(b"", rest())
-            sent = request(1, length=-1, body=long)
-            assert await go(pool, sent, sink) == 200
+            # The scripted target reads bodies by their length and responds at
+            # once if there is none.
+            streamed = exchange.Body(b"", rest())
+            sent = request(1, length=-1, body=streamed)
+            assert await execute(pool, sent, sink) == 200
             assert sink.body == scripted.BODY
             assert pool.open_count == 0
-            assert await go(pool, request(2), Sink()) == 200
+            assert await execute(pool, request(2), Sink()) == 200
             assert target.connections == 2
             pool.close_idle()
 
     helper.run(work())
 
 
-def test_a_cancelled_request_closes_its_connection():
+def test_cancelled_request_closes_its_connection():
     async def work():
         async with scripted.ScriptedTarget("hang") as target:
-            pool = pool_of(target)
-            task = asyncio.create_task(go(pool, request(), Sink()))
+            pool = new_pool(target)
+            task = asyncio.create_task(execute(pool, request(), Sink()))
             await helper.until(lambda: target.received)
             task.cancel()
             await helper.until(lambda: target.hung_up == 1)
@@ -257,5 +259,5 @@
         (((b"keep-alive", b"nonsense"),), upstream.DEFAULT_KEEP_ALIVE),
     ],
 )
-def test_heeds_the_idle_time_of_targets(fields, seconds):
+def test_respects_the_keep_alive_timeout_of_targets(fields, seconds):
     assert upstream._keep_alive_seconds(fields) == seconds
