--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -78,7 +78,7 @@
         return self.settings.platform.heartbeat_ms / 1000
 
     def record_heartbeat(self, heartbeat: heartbeats.Heartbeat) -> None:
-        """Records a heartbeat; adds, drains or replaces the target by it."""
+        """Records a heartbeat and adds, replaces or drains its target."""
         now = self._clock.monotonic()
         before = self._incarnations.current_name(heartbeat.incarnation.target)
         if not self._accepts_service(heartbeat.service):
@@ -154,7 +154,11 @@
             _log.info("target_left", target=name)
 
     def _accepts_service(self, service: str) -> bool:
-        """Whether a service is configured; true before a catalog is loaded."""
+        """Whether targets of a service are accepted.
+
+        They are if the configuration has the service, if it is the service of
+        the platform's own target, or while no configuration is loaded.
+        """
         configured = self._active_catalog.catalog.services_by_name
         own = self.settings.platform.service
         return (
