--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -45,7 +45,7 @@
         timeout: Longest time that a request may take, in seconds.
         objective: Latency objective in seconds.
         priority: Priority; 0 is the most urgent.
-        attempts: Maximum number of targets that a request is sent to.
+        max_attempts: Maximum number of targets that a request is sent to.
         allows_anonymous: Whether requests without a key are accepted.
     """
 
@@ -57,7 +57,7 @@
     timeout: float
     objective: float
     priority: int
-    attempts: int
+    max_attempts: int
     allows_anonymous: bool = False
 
     def pick(self, rng: random.Random) -> str:
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -221,6 +221,6 @@
         timeout=found.timeout_ms / MILLISECONDS_PER_SECOND,
         objective=found.target_latency_ms / MILLISECONDS_PER_SECOND,
         priority=found.priority,
-        attempts=found.retry_attempts,
+        max_attempts=found.retry_attempts,
         allows_anonymous=found.public,
     )
--- a/forklift/shell/exchange.py
+++ b/forklift/shell/exchange.py
@@ -16,7 +16,7 @@
 
 # Bodies of up to this size are read completely before the request is forwarded
 # and can be sent more than once, bytes.
-INLINE_BYTES = 16_384
+MAX_INLINE_BYTES = 16_384
 
 
 class IncompleteBody(errors.ForkliftError):
@@ -82,7 +82,7 @@
         priority: Priority; 0 is the most urgent.
         soft_deadline: Monotonic seconds until which the latency objective of
             the route is met.
-        attempts: Maximum number of targets that the request is sent to.
+        max_attempts: Maximum number of targets that the request is sent to.
         fingerprint: Fingerprint of the request; equal if it is sent again.
         organisation: Name of the calling organisation; empty if the route
             allows anonymous callers and the request has no key.
@@ -102,7 +102,7 @@
     origin: str = ""
     priority: int = 0
     soft_deadline: float = math.inf
-    attempts: int = 3
+    max_attempts: int = 3
     fingerprint: bytes = b""
     organisation: str = ""
 
--- a/forklift/shell/forwarding.py
+++ b/forklift/shell/forwarding.py
@@ -336,7 +336,7 @@
         retry_state = self._retry_state
         if retry_state.attempts == 0 or retry_state.budget_charged:
             return True
-        if retry_state.attempts >= self._request.attempts:
+        if retry_state.attempts >= self._request.max_attempts:
             return False
         retry_state.budget_charged = self._balancer.spend_retry(
             self._request.service, self._now(), objective=self._objective
@@ -426,7 +426,7 @@
         """Returns the seconds until the hedged request; None for no hedge."""
         request = self._request
         only_once = not request.idempotent or not request.body.replayable
-        if only_once or self._retry_state.attempts + 2 > request.attempts:
+        if only_once or self._retry_state.attempts + 2 > request.max_attempts:
             return None
         if self._exclusive:
             # A suspected request must not put a second target at risk.
@@ -450,7 +450,8 @@
         """
         if (
             self._exclusive
-            or self._retry_state.attempts + in_flight >= self._request.attempts
+            or self._retry_state.attempts + in_flight
+            >= self._request.max_attempts
         ):
             return None
         service, now = self._request.service, self._now()
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -453,7 +453,7 @@
             origin=self._hooks.origin_service(),
             priority=match.priority,
             soft_deadline=now + route.objective,
-            attempts=route.attempts,
+            max_attempts=route.max_attempts,
             fingerprint=self._fingerprint(event, headers, body, caller),
             organisation=caller,
         )
@@ -477,7 +477,7 @@
             event.target,
             caller,
             len(body.prefix) if body.complete else http.content_length(headers),
-            body.prefix[: exchange.INLINE_BYTES],
+            body.prefix[: exchange.MAX_INLINE_BYTES],
         )
 
     async def _respond(
--- a/forklift/shell/request_body.py
+++ b/forklift/shell/request_body.py
@@ -47,7 +47,7 @@
         prefix = bytearray()
         async for chunk in chunks:
             prefix += chunk
-            if len(prefix) > exchange.INLINE_BYTES:
+            if len(prefix) > exchange.MAX_INLINE_BYTES:
                 return exchange.Body(bytes(prefix), chunks)
         return exchange.Body(bytes(prefix))
 
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -268,7 +268,7 @@
 def test_a_large_body_is_streamed():
     async def work(rig):
         rig.limits = dataclasses.replace(LIMITS, body_bytes=1_000_000)
-        size = 3 * exchange.INLINE_BYTES
+        size = 3 * exchange.MAX_INLINE_BYTES
         rig.send("/a/1", extra=f"content-length: {size}\r\n", body="x" * size)
         await rig.wait_for_requests(1)
         body = rig.requests[0].body
@@ -558,7 +558,7 @@
         process.ingress.hooks = dataclasses.replace(
             process.ingress.hooks, handle=record_fingerprint
         )
-        size = 3 * exchange.INLINE_BYTES
+        size = 3 * exchange.MAX_INLINE_BYTES
         for body, split_at in ((b"a", 100), (b"a", size - 1), (b"b", 100)):
             await post_in_two_parts(process, body * size, split_at)
         assert observed[0] == observed[1] != observed[2]
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -43,7 +43,7 @@
     assert found.version == 7
     assert route.name == "r"
     assert not route.idempotent
-    assert (route.timeout, route.objective, route.attempts) == (2.5, 0.8, 2)
+    assert (route.timeout, route.objective, route.max_attempts) == (2.5, 0.8, 2)
     assert [share.service for share in route.weighted_services] == ["s"]
     assert found.services_by_name["s"].max_connections == 330
     assert found.limits.idle_timeout == 15.0
