--- a/forklift/admission.py
+++ b/forklift/admission.py
@@ -1,10 +1,10 @@
 """Admission control of one target.
 
-The controller runs in the process beside the target. Every request to the
-target passes through it, so its count of running requests is exact. It limits
-concurrency to the target's slots, queues requests by priority, refuses those
-that cannot end before their deadline, and starts none once the target leaves.
-All methods are synchronous.
+The controller runs in the process that owns the target. Every request to the
+target passes through the controller, so its count of running requests is exact.
+It limits concurrency to the target's slots, queues requests by priority,
+refuses those that cannot end before their deadline, and starts none once the
+target leaves. All methods are synchronous.
 """
 
 import bisect
@@ -22,28 +22,28 @@
 State = messages.TargetState
 Signal = health.Signal
 
-# Longest queue, as a multiple of the slots.
+# Maximum number of queued requests per slot.
 MAX_QUEUED_PER_SLOT = 8
-# Expected wait that every request accepts, because trying another target also
-# takes time and may send the request to another failure domain.
+# Expected wait up to which every request is queued, also one that prefers to
+# try another target.
 SHORT_WAIT_SECONDS = 0.1
-# Highest probability of being unhealthy at which a target counts as proven. A
-# target that responded within the last second is below it.
+# Highest unhealthy probability at which a target counts as proven.
 MAX_PROVEN_PROBABILITY = 0.15
-# A request is taken to hang when less than this share of successful requests
-# run as long. Its slot is then expected to be free at its deadline only.
+# Survival probability of a request's age below which the request counts as
+# hanging: its slot is then expected to become free only at its deadline.
 HANG_SURVIVAL = 0.03
 # Expected remaining time of a running request, as a multiple of the mean
-# latency of its route. Latencies vary so widely that its age says little.
+# latency of its route.
 RESIDUAL_FACTOR = 1.0
-# Reported as the idle time of a target that has run no request yet.
-MAX_IDLE_SECONDS = 1000.0
+# Idle time reported by a target that has run no request yet. Longer idle times
+# are reported as this value.
+UNUSED_IDLE_SECONDS = 1000.0
 
 
 class RequiredHealth(enum.IntEnum):
     """How healthy a target must be to run a request."""
 
-    # The target has served requests successfully within the last seconds.
+    # The target has recently served requests successfully.
     PROVEN = 0
     # The target is not ejected.
     SOUND = 1
@@ -57,22 +57,23 @@
     """A request for admission.
 
     Attributes:
-        id: Boot identity and sequence number of the sender.
+        id: Boot identity of the sender and its sequence number of the request.
         idempotent: Whether the request may run more than once.
-        priority: Rank; 0 is the most urgent.
-        deadline: End of the request, in monotonic seconds of this process.
+        priority: Priority; 0 is the most urgent.
+        deadline: Monotonic seconds of this process at which the request times
+            out.
         required_health: How healthy the target must be.
-        soft_deadline: Monotonic seconds at which the latency objective of the
-            route is missed.
+        soft_deadline: Monotonic seconds up to which the latency objective of
+            the route is met.
         route: Name of the route, for the expected latency.
-        wait: Whether the request queues for as long as it can. Otherwise it
-            is refused when the expected wait is long, so that the sender can
-            try another target.
+        wait: Whether the request accepts any wait up to its latest start.
+            Otherwise it is refused if the expected wait is longer than
+            `SHORT_WAIT_SECONDS`, so that the sender can try another target.
         start_by: Monotonic seconds after which the request is refused if it
             has not started.
-        exclusive: Whether it runs only while nothing else does: it may crash
-            the
-            target, and what ran beside it would be lost, and suspected too.
+        exclusive: Whether the request runs only while no other does. It may
+            crash the target; concurrent requests would then fail and be
+            suspected as well.
     """
 
     id: tuple[int, int]
@@ -93,21 +94,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class Started:
     """The request is admitted and may be sent to the target now."""
 
     ticket: Ticket
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wait:
+class Queued:
     """The request is queued for a slot."""
 
     ticket: Ticket
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refuse:
+class Refused:
     """The request is rejected and does not run on this target.
 
     Attributes:
@@ -121,7 +122,7 @@
     retry_after: float = 0.0
 
 
-Decision = Start | Wait | Refuse
+Decision = Started | Queued | Refused
 
 
 @dataclasses.dataclass
@@ -147,8 +148,8 @@
         self.refusals_by_reason: dict[Reason, int] = {}
         self._last_start = float("-inf")
         self._running_by_id: dict[tuple[int, int], _Running] = {}
-        # Sorted by priority, then by soft deadline, so that a request refused
-        # by another target does not lose its place.
+        # Sorted by priority, then by soft deadline. A request that another
+        # target refused thus keeps its place.
         self._waiting: list[tuple[tuple[int, float, int], Ticket]] = []
         self._arrivals = 0
 
@@ -193,7 +194,7 @@
             state,
             self.version,
             round(distribution.median, 4) if distribution else 0.0,
-            round(min(MAX_IDLE_SECONDS, now - self._last_start), 2),
+            round(min(UNUSED_IDLE_SECONDS, now - self._last_start), 2),
             round(self.health.unhealthy_probability(now), 2),
             round(distribution.spread, 2) if distribution else 0.0,
         )
@@ -219,10 +220,10 @@
         self._arrivals += 1
         entry = (position, ticket)
         bisect.insort(self._waiting, entry, key=lambda entry: entry[0])
-        return Wait(ticket)
+        return Queued(ticket)
 
     def cancel(self, ticket: Ticket) -> bool:
-        """Removes a queued request; False when it is not in the queue."""
+        """Removes a queued request; returns False if it is not queued."""
         before = len(self._waiting)
         self._waiting = [e for e in self._waiting if e[1].id != ticket.id]
         return len(self._waiting) < before
@@ -234,8 +235,8 @@
 
         Args:
             ticket: The request.
-            signal: What its end says about the health of the target; None
-                if nothing.
+            signal: What the end of the request says about the health of the
+                target; None if it was cancelled.
             now: Monotonic seconds.
 
         Returns:
@@ -245,7 +246,7 @@
         if running is None:
             return []
         seconds = now - running.started
-        if signal is Signal.WELL:
+        if signal is Signal.SUCCESS:
             running.distribution.record(seconds)
         elif signal is None:
             healthy_probability = 1 - self.health.unhealthy_probability(now)
@@ -253,11 +254,11 @@
                 seconds,
                 healthy_probability * running.distribution.survival(seconds),
             )
-        changed = self.health.end(ticket.id, signal, now)
+        changed = self.health.record_end(ticket.id, signal, now)
         return self._apply_ejection_change(changed) + self._start_waiting(now)
 
     def _apply_ejection_change(self, changed: bool) -> list[Decision]:
-        """Handles a change of the ejection state of the target."""
+        """Updates version and queue after an ejection or a reinstatement."""
         if not changed:
             return []
         self.version += 1
@@ -265,22 +266,22 @@
 
     # State of the target.
 
-    def drain(self) -> list[Decision]:
+    def mark_draining(self) -> list[Decision]:
         """Refuses all requests, because the target is leaving."""
         if self.state in (State.IN_SERVICE, State.PAUSED):
             self.state = State.DRAINING
             self.version += 1
         return self._refuse_all(Reason.DRAINING)
 
-    def pause(self) -> list[Decision]:
-        """Refuses all requests while this process stops without its target."""
+    def mark_paused(self) -> list[Decision]:
+        """Refuses all requests, as this process stops without its target."""
         if self.state is State.IN_SERVICE:
             self.state = State.PAUSED
             self.version += 1
         return self._refuse_all(Reason.DRAINING)
 
-    def leave(self) -> list[Decision]:
-        """Refuses all requests, because the target is gone."""
+    def mark_left(self) -> list[Decision]:
+        """Refuses all requests, because the target has left."""
         if self.state is not State.LEFT:
             self.state = State.LEFT
             self.version += 1
@@ -310,8 +311,8 @@
         free_at = [
             self._remaining_time(r, now) for r in self._running_by_id.values()
         ]
-        closed = max(free_at) if self._exclusive_running else 0.0
-        free_at += [closed] * (self.slots - len(free_at))
+        blocked = max(free_at) if self._exclusive_running else 0.0
+        free_at += [blocked] * (self.slots - len(free_at))
         heapq.heapify(free_at)
         for ahead, ticket in self._waiting:
             if ahead > position:
@@ -333,10 +334,10 @@
 
     def _remaining_time(self, running: _Running, now: float) -> float:
         """Expected seconds until a running request ends."""
-        left = max(0.0, running.ticket.deadline - now)
+        time_left = max(0.0, running.ticket.deadline - now)
         if running.distribution.survival(now - running.started) < HANG_SURVIVAL:
-            return left
-        return min(left, RESIDUAL_FACTOR * running.distribution.mean)
+            return time_left
+        return min(time_left, RESIDUAL_FACTOR * running.distribution.mean)
 
     def _refusal_reason(self, ticket: Ticket, now: float) -> Reason | None:
         if self.closed:
@@ -359,13 +360,13 @@
         cold = now < self.cold_until
         return Reason.UNPROVEN if unproven or cold else None
 
-    def _start(self, ticket: Ticket, now: float) -> Start:
+    def _start(self, ticket: Ticket, now: float) -> Started:
         invariants.no_new_work(self.closed, self.name)
         distribution = self._distribution(ticket, now)
         self._running_by_id[ticket.id] = _Running(ticket, now, distribution)
         self._last_start = now
-        self.health.begin(ticket.id, distribution, now)
-        return Start(ticket)
+        self.health.record_start(ticket.id, distribution, now)
+        return Started(ticket)
 
     def _start_waiting(self, now: float) -> list[Decision]:
         decisions: list[Decision] = []
@@ -374,7 +375,7 @@
             ticket = self._waiting[index][1]
             reason = self._refusal_reason(ticket, now)
             if reason is None and not self._has_slot(ticket):
-                # Requests behind an exclusive one wait, or it would starve.
+                # Later requests wait, so that the exclusive one can start.
                 break
             del self._waiting[index]
             if reason is not None:
@@ -387,8 +388,8 @@
         """Index of the queued request to start next.
 
         Among requests of the highest priority, the first that can still meet
-        its latency objective goes first. Serving late requests in order would
-        make every later one miss its objective too.
+        its latency objective goes first. Serving late requests first would
+        make the requests behind them miss their objectives, too.
         """
         priority = self._waiting[0][1].priority
         for index, (_, ticket) in enumerate(self._waiting):
@@ -430,10 +431,10 @@
 
     def _refuse(
         self, ticket: Ticket, reason: Reason, retry_after: float = 0.0
-    ) -> Refuse:
+    ) -> Refused:
         count = self.refusals_by_reason.get(reason, 0)
         self.refusals_by_reason[reason] = count + 1
-        return Refuse(ticket, reason, retry_after)
+        return Refused(ticket, reason, retry_after)
 
 
 def _accepts_ejected(ticket: Ticket) -> bool:
--- a/forklift/balancing_algorithms.py
+++ b/forklift/balancing_algorithms.py
@@ -19,8 +19,9 @@
         weight: Factor on the share of traffic, greater than 0.
         same_domain: Whether the target is in our failure domain.
         pick_count: Number of times that this process selected the target.
-        risk_cost: Expected cost of a failure of the target.
-        far_cost: Cost of sending the request to another failure domain.
+        failure_cost: Expected cost of a failure of the target.
+        cross_domain_cost: Cost of sending the request to another failure
+            domain.
     """
 
     name: str
@@ -29,8 +30,8 @@
     weight: float
     same_domain: bool
     pick_count: int
-    risk_cost: float = 0.0
-    far_cost: float = 0.0
+    failure_cost: float = 0.0
+    cross_domain_cost: float = 0.0
 
     @property
     def weighted_utilisation(self) -> float:
@@ -46,21 +47,23 @@
     def cost(self) -> float:
         """Total cost of sending the request to the target."""
         return (
-            self.risk_cost + self.far_cost + UTILISATION_COST * self.utilisation
+            self.failure_cost
+            + self.cross_domain_cost
+            + UTILISATION_COST * self.utilisation
         )
 
 
 Algorithm = Callable[[Sequence[Candidate], random.Random], Candidate]
 algorithm_by_name: dict[str, Algorithm] = {}
 
-# Utilisation above which requests go to other failure domains.
+# Utilisation above which a target counts as full.
 SPILL_UTILISATION = 1.0
 # Number of candidates that `power_of_two` compares.
 SAMPLED_CANDIDATES = 2
-# Cost of a fully used target relative to an idle one. It is low, as latency
-# rises only slightly with load and load reports are delayed.
+# Cost of a fully used target relative to an idle one, as a fraction of the
+# value of a request.
 UTILISATION_COST = 0.15
-# Lower bound of weights: a weight must not take a target out of service.
+# Lower bound on weights, so that no weight takes a target out of service.
 MIN_WEIGHT = 0.02
 
 
@@ -86,7 +89,10 @@
 def least_loaded(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate:
-    """Selects the lowest weighted utilisation, at random among equals."""
+    """Selects the target with the lowest weighted utilisation.
+
+    Ties are broken at random.
+    """
     return min(candidates, key=lambda c: (c.weighted_utilisation, rng.random()))
 
 
@@ -112,7 +118,10 @@
 def same_domain(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate:
-    """Applies `power_of_two` to our failure domain; to all if it is full."""
+    """Applies `power_of_two` to the targets of our failure domain.
+
+    If there is none or the selected one is full, all targets are candidates.
+    """
     local = [c for c in candidates if c.same_domain]
     if local:
         selected = power_of_two(local, rng)
@@ -125,7 +134,10 @@
 def nearest_free(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate:
-    """Selects the least used target, from our failure domain if one is free."""
+    """Selects the least used target, preferably from our failure domain.
+
+    Targets of other failure domains are candidates only if ours are full.
+    """
     local = [
         c
         for c in candidates
@@ -138,11 +150,11 @@
 def least_cost(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate:
-    """Selects the lowest cost of failure risk, distance and load.
+    """Selects the target with the lowest cost of failure, distance and load.
 
-    Targets with a free slot take precedence; if there are none, all targets
-    are compared. The cost suits targets that fail for seconds at a time and
-    failure domains between which traffic is expensive.
+    Targets without a free slot are candidates only if all targets are full.
+    The cost suits targets that fail for seconds at a time and failure domains
+    between which traffic is expensive.
     """
     available = [c for c in candidates if c.utilisation <= SPILL_UTILISATION]
     return min(available or candidates, key=lambda c: (c.cost, rng.random()))
--- a/forklift/counters.py
+++ b/forklift/counters.py
@@ -1,12 +1,12 @@
 """Request counters and latency histograms of one process.
 
-They are plain numbers; metrics are built from them only when they are read.
+The counters are plain numbers; metrics are built from them only on demand.
 """
 
 import bisect
 import collections
 
-# Upper bounds of the histogram buckets, seconds.
+# Upper bounds of the histogram buckets in seconds.
 BUCKET_BOUNDS = (
     0.002,
     0.005,
@@ -42,7 +42,7 @@
         self._counts[bisect.bisect_left(BUCKET_BOUNDS, seconds)] += 1
 
     def cumulative(self) -> list[tuple[str, int]]:
-        """Cumulative counts by upper bound, the last one for all durations."""
+        """Cumulative counts by upper bound; the last bound is infinite."""
         total = 0
         buckets = []
         for bound, count in zip(
@@ -66,7 +66,7 @@
         )
 
     def record_refusal(self, reason: str) -> None:
-        """Counts a request that was refused before it had a service."""
+        """Counts a request refused before its service was determined."""
         self.requests_by_outcome[("not-run", str(reason))] += 1
 
     def record_request(
--- a/forklift/crash_candidates.py
+++ b/forklift/crash_candidates.py
@@ -2,10 +2,11 @@
 
 import dataclasses
 
-# Seconds for which an unanswered request remains a candidate after its end. The
-# target may still run it, and reports a restart with its next heartbeat only.
+# Seconds for which a request that ended without a response remains a candidate.
+# The target may still be running it, and a crash is noticed only with the
+# heartbeat after the restart.
 RETENTION_SECONDS = 5.0
-# Ended requests kept; the oldest are dropped first.
+# Maximum number of ended requests; the oldest are dropped first.
 MAX_ENDED = 64
 
 
@@ -16,7 +17,7 @@
 
 
 class CrashCandidates:
-    """Unanswered requests of one incarnation of a target."""
+    """Requests without a response, of one incarnation of a target."""
 
     def __init__(self):
         self._request_by_id: dict[object, _Request] = {}
@@ -27,11 +28,14 @@
         self._request_by_id[request] = _Request(fingerprint)
 
     def discard(self, request: object) -> None:
-        """Removes a request that the target answered or did not run."""
+        """Removes a request that has a response or was not run."""
         self._request_by_id.pop(request, None)
 
     def mark_ended(self, request: object, now: float) -> None:
-        """Marks a request that ended unanswered and may still be running."""
+        """Marks a request that ended without a response.
+
+        The target may still be running it.
+        """
         candidate = self._request_by_id.get(request)
         if candidate is not None:
             candidate.ended = now
--- a/forklift/expressions.py
+++ b/forklift/expressions.py
@@ -2,10 +2,10 @@
 
 Expressions are written in the Common Expression Language (CEL), which always
 terminates and has no side effects. An expression is compiled once and
-evaluated on sample values before a policy is accepted. If it fails later, the
-failure is counted and the default of the expression applies. Built-in
-expressions are Python functions, so the CEL library is loaded only if a policy
-file defines an expression.
+evaluated on sample values before a policy is accepted. If an evaluation fails
+later, the failure is counted and the default of the expression applies.
+Built-in expressions are Python functions, so the CEL library is loaded only if
+a policy file defines an expression.
 """
 
 import collections
@@ -45,7 +45,7 @@
         self._function = function
 
     def evaluate(self, **values: object) -> bool | float:
-        """See `Program`."""
+        """See `Evaluator`."""
         return self._function(**values)
 
 
@@ -71,8 +71,8 @@
             ExpressionError: If the expression is too long, does not compile,
                 or returns another type.
         """
-        # Imported here because loading the library takes 0.2 s and 10 MB, and
-        # most processes use built-in expressions only.
+        # Imported here because the library is large, and most processes use
+        # only built-in expressions.
         import cel  # noqa: PLC0415
 
         self.text = text
--- a/forklift/fences.py
+++ b/forklift/fences.py
@@ -1,8 +1,8 @@
-"""Started and fenced requests of a process, the proof of 'not run'.
+"""Tracks started and fenced requests, to prove that a request was not run.
 
-A request is identified by the boot identity and the sequence number of its
-sender. A fenced request never starts; a started one is never reported as not
-run.
+A request is identified by the boot identity of its sender and the sequence
+number that the sender assigned. A fenced request never starts; a started
+request is never reported as not run.
 """
 
 import collections
@@ -11,6 +11,7 @@
 
 from forklift import invariants
 
+# Seconds for which a request is remembered; longer than any deadline.
 RETENTION_SECONDS = 150.0
 RequestKey: TypeAlias = tuple[int, int]
 
@@ -22,7 +23,7 @@
 
 
 class Fences:
-    """Started and fenced requests, kept for longer than any deadline."""
+    """Started and fenced requests of one process."""
 
     def __init__(self):
         self._entry_by_key: collections.OrderedDict[RequestKey, _Entry] = (
@@ -33,16 +34,16 @@
         return len(self._entry_by_key)
 
     def may_start(self, request: RequestKey) -> bool:
-        """Whether the request was neither started nor fenced."""
+        """Whether the request is neither started nor fenced."""
         return request not in self._entry_by_key
 
     def has_started(self, request: RequestKey) -> bool:
-        """Whether the request was started here."""
+        """Whether the request was started by this process."""
         entry = self._entry_by_key.get(request)
         return entry is not None and entry.started
 
     def try_start(self, request: RequestKey, now: float) -> bool:
-        """Marks a request as started; False if it must not start."""
+        """Marks a request as started; returns False if it must not start."""
         self._expire(now)
         if not self.may_start(request):
             return False
@@ -50,7 +51,7 @@
         return True
 
     def fence(self, request: RequestKey, now: float) -> bool:
-        """Prevents a request from starting; False if it has started."""
+        """Prevents a request from starting; returns False if it started."""
         self._expire(now)
         entry = self._entry_by_key.get(request)
         if entry is None:
--- a/forklift/health.py
+++ b/forklift/health.py
@@ -3,8 +3,8 @@
 A target may fail most requests for some seconds while its health endpoint
 reports success. The target is modelled as a two-state Markov chain, healthy or
 unhealthy, and a Bayesian filter estimates the probability that it is unhealthy
-from the end of each request. Requests in flight count too: the longer one runs
-beyond the usual latency, the stronger it indicates a hanging target.
+from the end of each request. Requests in flight are evidence, too: the longer a
+request runs beyond the usual latency, the likelier it is that the target hangs.
 """
 
 import dataclasses
@@ -17,56 +17,63 @@
 class Signal(enum.StrEnum):
     """What the end or the age of a request says about the target's health."""
 
-    WELL = "well"
+    # The response is not a failure.
+    SUCCESS = "well"
+    # The response is a failure according to the policy.
     ERROR = "error"
+    # The connection broke, or the response was invalid.
     BROKEN = "broken"
+    # Requests in flight take too long.
     OVERDUE = "overdue"
+    # The target refused the request itself.
     SHED = "shed"
+    # No connection to the target could be established.
     UNREACHABLE = "unreachable"
 
 
-# Mean time that a target stays in each state.
+# Mean time for which a target stays healthy.
 MEAN_HEALTHY_SECONDS = 12.0
+# Mean time for which a target stays unhealthy.
 MEAN_UNHEALTHY_SECONDS = 4.0
 # Share of requests that fail at an unhealthy target.
 UNHEALTHY_FAILURE_RATE = 0.75
-# Bounds on the learned error rate of a healthy target. It may be high when the
-# calls that the target makes to other services fail.
+# Lower bound on the learned error rate of a healthy target.
 MIN_ERROR_RATE = 0.03
+# Upper bound on that rate, which is high while calls of the target to other
+# services fail.
 MAX_ERROR_RATE = 0.5
-# Weight of the last response in the error rate.
+# Weight of the latest response in the error rate.
 ERROR_RATE_GAIN = 0.03
-# Share of requests that fail in other ways at a healthy target.
+# Share of the requests to a healthy target that fail with each other signal.
 HEALTHY_FAILURE_RATE_BY_SIGNAL = {
     Signal.BROKEN: 0.005,
     Signal.UNREACHABLE: 0.005,
     Signal.OVERDUE: 0.005,
 }
-# Upper bound on the probability of either state, so that a few responses are
-# enough to reveal a change.
+# Upper bound on the probability of either state, so that a few responses
+# suffice to detect a change.
 MAX_CONFIDENCE = 0.97
-# Probabilities of being unhealthy above which a target is ejected, and below
-# which it is reinstated.
+# Unhealthy probability above which a target is ejected.
 EJECTION_THRESHOLD = 0.5
+# Unhealthy probability below which an ejected target is reinstated.
 REINSTATEMENT_THRESHOLD = 0.3
-# Failures within this time are fast, such as a refused or reset connection.
+# Age up to which a failure counts as fast, such as a refused connection.
 FAST_FAILURE_SECONDS = 0.02
-# Initial share of failures that are slow, and the weight of the last failure
-# in that share. A target mostly fails in the same way.
+# Initial share of failures that are slow.
 INITIAL_SLOW_FAILURE_SHARE = 0.5
+# Weight of the latest failure in the share of slow failures.
 SLOW_FAILURE_GAIN = 0.3
-# A request in flight is final evidence when less than this share of successful
-# requests run as long.
-SETTLED_SURVIVAL = 0.01
-# Time between trial requests to an ejected target while they fail. It bounds
-# the retries that hanging trials cost, and the delay of the reinstatement.
+# Survival probability of a request's age below which a request in flight counts
+# as final evidence.
+CONCLUSIVE_SURVIVAL = 0.01
+# Minimum time between trial requests to an ejected target while they fail.
 TRIAL_INTERVAL_SECONDS = 0.4
-# A request counts as late when less than this share of successful requests run
-# as long. A late trial request does not delay the next one.
+# Survival probability of a request's age below which the request counts as
+# late. A late trial request does not delay the next one.
 LATE_SURVIVAL = 0.1
-# Time that a target counts as shedding load after it refused a request.
+# Time for which a target counts as shedding load after it refused a request.
 SHEDDING_SECONDS = 1.0
-# Ejections and reinstatements kept for the report to operators.
+# Maximum number of ejections and reinstatements that reports list.
 MAX_CHANGES = 20
 
 _TRANSITION_RATE = 1 / MEAN_HEALTHY_SECONDS + 1 / MEAN_UNHEALTHY_SECONDS
@@ -113,8 +120,8 @@
     signal: Signal | None = None
     # Error rate of the target when the request ended.
     error_rate: float = MIN_ERROR_RATE
-    # Age at its end, seconds; None while it is in flight.
-    observed: float | None = None
+    # Age of the request at its end in seconds; None while it is in flight.
+    age_at_end: float | None = None
 
 
 class Health:
@@ -123,17 +130,17 @@
     Attributes:
         ejected_since: Monotonic seconds of the ejection; None if not ejected.
         changes: The latest ejections and reinstatements, the oldest first.
-        signal: Cause of the ejection; `WELL` if not ejected.
+        signal: Cause of the ejection; `SUCCESS` if not ejected.
     """
 
     def __init__(self):
         self.ejected_since: float | None = None
         self.changes: list[EjectionChange] = []
-        self.signal = Signal.WELL
+        self.signal = Signal.SUCCESS
         self._slow_failure_share = INITIAL_SLOW_FAILURE_SHARE
         self._error_rate = MIN_ERROR_RATE
         self._request_by_id: dict[object, _Request] = {}
-        # Ordered by start; earlier ones are part of the probability.
+        # Ordered by start. `_probability` includes all earlier requests.
         self._requests: list[_Request] = []
         self._probability = UNHEALTHY_PRIOR
         self._probability_at = float("-inf")
@@ -149,14 +156,14 @@
         """Whether the target has recently refused a request itself."""
         return now - self._shed_request_at < SHEDDING_SECONDS
 
-    def begin(
+    def record_start(
         self, request: object, distribution: latency.Distribution, now: float
     ) -> None:
         """Records that a request is sent to the target.
 
         Args:
-            request: Identifies the request until its end.
-            distribution: Latency distribution of its route.
+            request: Identifier of the request.
+            distribution: Latency distribution of the request's route.
             now: Monotonic seconds.
         """
         record = _Request(now, distribution)
@@ -165,12 +172,14 @@
         if self.ejected:
             self._next_trial_at = now + TRIAL_INTERVAL_SECONDS
 
-    def end(self, request: object, signal: Signal | None, now: float) -> bool:
+    def record_end(
+        self, request: object, signal: Signal | None, now: float
+    ) -> bool:
         """Records the end of a request.
 
         Args:
-            request: The same as at its start.
-            signal: How it ended; None if it was cancelled.
+            request: Identifier that was passed to `record_start`.
+            signal: How the request ended; None if it was cancelled.
             now: Monotonic seconds.
 
         Returns:
@@ -180,24 +189,24 @@
         if record is None:
             return False
         age = now - record.started
-        record.observed = age
+        record.age_at_end = age
         record.signal = signal
         record.error_rate = self._error_rate
         self._record_error(signal)
         if signal is Signal.SHED:
             self._shed_request_at = now
-        elif signal is not Signal.WELL:
+        elif signal is not Signal.SUCCESS:
             self._record_failure_speed(record, age)
         elif record.started > self._shed_request_at:
             self._shed_request_at = float("-inf")
-        if signal is Signal.WELL and self.ejected:
+        if signal is Signal.SUCCESS and self.ejected:
             # A successful trial allows the next one at once.
             self._next_trial_at = now
         return self.evaluate(now, signal)
 
     def unhealthy_probability(self, now: float) -> float:
         """Probability that the target is unhealthy, 0 to 1."""
-        self._fold_settled(now)
+        self._apply_final_evidence(now)
         probability, at = self._probability, self._probability_at
         for record in self._requests:
             probability = self._update(
@@ -207,7 +216,7 @@
         return predict(probability, now - at)
 
     def evaluate(self, now: float, signal: Signal | None = None) -> bool:
-        """Ejects or reinstates the target if its probability requires it.
+        """Ejects or reinstates the target by its unhealthy probability.
 
         Args:
             now: Monotonic seconds.
@@ -219,7 +228,7 @@
         unhealthy_probability = self.unhealthy_probability(now)
         if not self.ejected and unhealthy_probability > EJECTION_THRESHOLD:
             self.ejected_since = now
-            failed = signal not in (None, Signal.WELL, Signal.SHED)
+            failed = signal not in (None, Signal.SUCCESS, Signal.SHED)
             self.signal = signal if failed else Signal.OVERDUE
             self._next_trial_at = now + TRIAL_INTERVAL_SECONDS
         elif self.ejected and unhealthy_probability < REINSTATEMENT_THRESHOLD:
@@ -232,7 +241,7 @@
             )
         )
         if not self.ejected:
-            self.signal = Signal.WELL
+            self.signal = Signal.SUCCESS
         return True
 
     def allows_trial(self, now: float) -> bool:
@@ -254,11 +263,11 @@
             for record in self._request_by_id.values()
         )
 
-    def _fold_settled(self, now: float) -> None:
-        """Folds the requests with final evidence into the probability."""
+    def _apply_final_evidence(self, now: float) -> None:
+        """Updates the probability with requests that are final evidence."""
         count = 0
         for record in self._requests:
-            if record.observed is None and self._is_open(record, now):
+            if record.age_at_end is None and self._is_inconclusive(record, now):
                 break
             probability = predict(
                 self._probability, record.started - self._probability_at
@@ -268,10 +277,10 @@
             count += 1
         del self._requests[:count]
 
-    def _is_open(self, record: _Request, now: float) -> bool:
+    def _is_inconclusive(self, record: _Request, now: float) -> bool:
         return (
             record.distribution.survival(now - record.started)
-            > SETTLED_SURVIVAL
+            > CONCLUSIVE_SURVIVAL
         )
 
     def _update(
@@ -286,7 +295,7 @@
 
     def _likelihood_ratio(self, record: _Request, now: float) -> float:
         """Likelihood ratio of a request: unhealthy against healthy target."""
-        if record.signal is Signal.WELL:
+        if record.signal is Signal.SUCCESS:
             return 1 - UNHEALTHY_FAILURE_RATE
         if record.signal is Signal.SHED:
             return 1.0
@@ -296,7 +305,9 @@
             )
             return UNHEALTHY_FAILURE_RATE / healthy
         age = (
-            now - record.started if record.observed is None else record.observed
+            now - record.started
+            if record.age_at_end is None
+            else record.age_at_end
         )
         survival = record.distribution.survival(age)
         still_running = (
@@ -310,7 +321,7 @@
 
     def _record_error(self, signal: Signal | None) -> None:
         """Updates the error rate of the target."""
-        if signal not in (Signal.WELL, Signal.ERROR):
+        if signal not in (Signal.SUCCESS, Signal.ERROR):
             return
         error_rate = self._error_rate + ERROR_RATE_GAIN * (
             (signal is Signal.ERROR) - self._error_rate
@@ -321,7 +332,7 @@
         """Updates the share of failures that are slow."""
         was_overdue = record.distribution.survival(age) < LATE_SURVIVAL
         if record.signal is None and not was_overdue:
-            # Cancelled early, so it says nothing about the target.
+            # A request that was cancelled early is no evidence.
             return
         slow = float(age > FAST_FAILURE_SECONDS)
         self._slow_failure_share += SLOW_FAILURE_GAIN * (
--- a/forklift/invariants.py
+++ b/forklift/invariants.py
@@ -1,8 +1,7 @@
 """Checks the invariants of the project at run time.
 
-A violation is logged and counted; with `RAISE_ON_VIOLATION`, which tests set,
-it raises. Each check is a function named after its invariant, as in the log
-line, the counter and the documentation.
+A violation is logged and counted; if `RAISE_ON_VIOLATION` is set, as in tests,
+it also raises an exception. Each invariant has a function that checks it.
 """
 
 import collections
@@ -27,10 +26,10 @@
         **evidence: Further fields of the log line.
 
     Returns:
-        `holds`, so that the code that checks can stop.
+        `holds`, so that the calling code can stop.
 
     Raises:
-        errors.InvariantViolation: If it does not hold and
+        errors.InvariantViolation: The invariant does not hold and
             `RAISE_ON_VIOLATION` is set.
     """
     checks_by_invariant[invariant] += 1
@@ -44,8 +43,8 @@
 
 
 def own_answer(request_id: str, echoed: str) -> bool:
-    """A response is passed on only for the request it belongs to."""
-    detail = f"answer to {echoed} on the stream of {request_id}"
+    """A response is passed on only to the request that it belongs to."""
+    detail = f"response to {echoed} on the stream of {request_id}"
     return check("own-answer", request_id == echoed, detail)
 
 
@@ -70,7 +69,7 @@
     return check(
         "no-new-work",
         not leaving,
-        "a leaving target was sent work",
+        "a request was started on a leaving target",
         target=target,
     )
 
@@ -80,7 +79,7 @@
     return check(
         "nothing-cut-off",
         in_flight == 0 or deadline_passed,
-        f"{in_flight} requests in flight at the stop",
+        f"{in_flight} requests in flight when the process stopped",
     )
 
 
--- a/forklift/latency.py
+++ b/forklift/latency.py
@@ -7,29 +7,27 @@
 import collections
 import math
 
-# Initial median, as a share of the latency objective of the route. Operators
-# usually set objectives to a few times the median.
+# Initial median, as a fraction of the latency objective of the route.
 INITIAL_OBJECTIVE_SHARE = 1 / 3
 # Initial standard deviation of the logarithm of the latency.
 INITIAL_SPREAD = 1.0
 # Weight of the initial estimate, in responses.
 INITIAL_WEIGHT = 2.0
-# Responses after which the median is used to refuse requests.
+# Number of responses after which the median is used to refuse requests.
 MIN_LEARNED_WEIGHT = 3.0
-# Upper bound on the weight, in responses. It makes older responses decay, so
-# that a change in latency shows within a few dozen responses.
+# Upper bound on the weight, in responses, so that older responses decay.
 MAX_WEIGHT = 40.0
 # Lower bound on the standard deviation of the logarithm.
 MIN_SPREAD = 0.25
-# Share of successful requests in the long tail, and how many times slower
-# they are.
+# Share of successful requests in the long tail.
 TAIL_SHARE = 0.01
+# Factor by which requests in the long tail are slower than others.
 TAIL_FACTOR = 4.0
-# Shorter latencies are rounded up to this.
+# Lower bound on latencies; shorter ones are rounded up.
 MIN_SECONDS = 0.001
-# Objectives above this are capped for the initial median.
+# Upper bound on the latency objective that determines the initial median.
 MAX_OBJECTIVE_SECONDS = 10.0
-# Routes kept; the least recently used one is evicted first.
+# Maximum number of routes; the least recently used one is evicted first.
 MAX_ROUTES = 256
 
 
@@ -53,7 +51,7 @@
 
     @property
     def learned_median(self) -> float:
-        """Median latency after a few responses; 0 before, seconds.
+        """Median latency in seconds; 0 until a few responses are recorded.
 
         The initial estimate alone must not cause requests of a new route to
         be refused.
@@ -112,8 +110,8 @@
         """Moves the estimate towards that of another process.
 
         Args:
-            median: Median latency there, seconds.
-            spread: Standard deviation of the logarithm there.
+            median: Median latency measured by the other process, seconds.
+            spread: Standard deviation of the logarithm, from that process.
             gain: Weight of the other estimate, 0 to 1.
         """
         self._weight = min(MAX_WEIGHT, self._weight + 1)
@@ -136,18 +134,18 @@
     """Latency distributions by route; the least recently used are evicted."""
 
     def __init__(self):
-        self._latency_by_route: collections.OrderedDict[str, Distribution] = (
-            collections.OrderedDict()
-        )
+        self._distribution_by_route: collections.OrderedDict[
+            str, Distribution
+        ] = collections.OrderedDict()
 
     def get(self, route: str) -> Distribution | None:
         """The distribution of a route; None if the route is not known."""
-        return self._latency_by_route.get(route)
+        return self._distribution_by_route.get(route)
 
     def medians_by_route(self) -> dict[str, float]:
         """Median latency of each route, seconds."""
-        distributions = self._latency_by_route.items()
-        return {route: round(usual.median, 4) for route, usual in distributions}
+        distributions = self._distribution_by_route.items()
+        return {route: round(item.median, 4) for route, item in distributions}
 
     def for_route(self, route: str, objective: float) -> Distribution:
         """The distribution of a route, created if it is missing.
@@ -157,15 +155,15 @@
             objective: Latency objective of the route in seconds, for the
                 initial median.
         """
-        distribution = self._latency_by_route.pop(route, None)
+        distribution = self._distribution_by_route.pop(route, None)
         if distribution is None:
             distribution = Distribution(
                 INITIAL_OBJECTIVE_SHARE
                 * max(MIN_SECONDS, min(objective, MAX_OBJECTIVE_SECONDS))
             )
-        self._latency_by_route[route] = distribution
-        if len(self._latency_by_route) > MAX_ROUTES:
-            self._latency_by_route.popitem(last=False)
+        self._distribution_by_route[route] = distribution
+        if len(self._distribution_by_route) > MAX_ROUTES:
+            self._distribution_by_route.popitem(last=False)
         return distribution
 
 
--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -29,36 +29,37 @@
 
 # Maximum number of targets of a service that this process sends to.
 SUBSET_SIZE = 64
-# Probability that an idempotent request becomes a trial request while one is
-# due.
+# Probability that an idempotent request becomes a trial request while a trial
+# is due.
 TRIAL_PROBABILITY = 0.4
 # Seconds within which every healthy target must receive a request while the
-# failure rate is high. The capacity floor counts targets over this window.
-CAPACITY_FLOOR_WINDOW = 2.0
-# Share of failed requests from which the failure rate is high. It is below the
-# tenth from which the capacity floor applies.
+# failure rate is high.
+CAPACITY_FLOOR_SECONDS = 2.0
+# Share of failed requests from which the failure rate counts as high.
 HIGH_FAILURE_SHARE = 0.08
 # Seconds without a request after which the local target receives the next
-# idempotent one. While the failure rate is high, it receives the next request
-# of any kind as soon as no more than the third number of requests is expected
-# in the rest of the window, but not before the second number of seconds.
-LOCAL_IDLE_LIMIT = 0.7
-MIN_LOCAL_IDLE_LIMIT = 0.3
+# idempotent request.
+MAX_LOCAL_IDLE_SECONDS = 0.7
+# Minimum seconds without a request before the local target receives the next
+# request of any kind. This applies while the failure rate is high.
+MIN_LOCAL_IDLE_SECONDS = 0.3
+# Number of requests expected in the rest of `CAPACITY_FLOOR_SECONDS` at which
+# the local target receives the next request of any kind.
 EXPECTED_REQUESTS_LEFT = 1.6
-# Idle seconds above which a target has never received a request.
-NEVER_USED = admission.MAX_IDLE_SECONDS - 10.0
-# Seconds between two trial requests of this process to a target.
+# Reported idle time above which a target has never received a request.
+MIN_UNUSED_IDLE_SECONDS = admission.UNUSED_IDLE_SECONDS - 10.0
+# Minimum seconds between two trial requests of this process to a target.
 TRIAL_INTERVAL_SECONDS = 0.25
-# Probability of being unhealthy up to which an ejected target is preferred to a
-# longer wait.
+# Unhealthy probability up to which an ejected target is preferred to a longer
+# wait.
 MAX_UNHEALTHY_PROBABILITY = 0.5
-# Free slots that a target must have. As reported load decays, a lower margin
-# would select a target that was full a moment ago.
+# Free slots that a request without queueing requires of a target. Reported load
+# decays, so a target that was just full seems to have a fraction of a slot.
 FREE_SLOT_MARGIN = 0.3
-# Cost of an unhealthy target for an idempotent request, as a fraction of the
-# value of the request: the delay and a retry. Other requests are lost.
+# Cost of sending an idempotent request to an unhealthy target, as a fraction of
+# the value of the request.
 IDEMPOTENT_LOSS = 0.5
-# Size of the headers of a request and its response between processes.
+# Total size of the headers of a request and its response between processes.
 HEADER_KILOBYTES = 0.4
 # Weight of the latency reported with a response in our distribution for the
 # route.
@@ -73,9 +74,9 @@
         service: Name of the service.
         idempotent: Whether the request is idempotent.
         required_health: How healthy the target must be.
-        allows_trial: Whether it may be a trial request, or the request that
-            an idle target needs.
-        wait: Whether it may go to a target without a free slot.
+        allows_trial: Whether the request may be a trial request, or go to an
+            idle target to keep it in use.
+        wait: Whether the request may go to a target without a free slot.
         kilobytes: Estimated size of the request and its response.
     """
 
@@ -123,12 +124,12 @@
 class _ServiceState:
     """Targets, failure rate and retry budget of one service."""
 
-    def __init__(self, bounds: RetryBudgetLimits):
+    def __init__(self, limits: RetryBudgetLimits):
         self.view_by_target: dict[str, TargetView] = {}
-        self.failing = rates.FailureRate()
+        self.failure_rate = rates.FailureRate()
         self.subset: list[str] | None = None
         self.budget = retry_budget.RetryBudget(
-            bounds.ratio, bounds.window, bounds.reserve
+            limits.ratio, limits.window, limits.reserve
         )
 
 
@@ -141,8 +142,8 @@
         response_sizes: Mean response sizes by route.
         shortest_objective_by_service: Shortest latency objective of the routes
             of each service, in seconds.
-        far_cost: Cost of a kilobyte between failure domains, as a fraction of
-            the value of a request.
+        cross_domain_cost_per_kilobyte: Cost of a kilobyte between failure
+            domains, as a fraction of the value of a request.
         process_count: Number of known processes including this one; 0 until
             the first contact.
         selection_count: Number of selections.
@@ -153,31 +154,31 @@
         name: str,
         domain: str,
         rng: random.Random,
-        program: Callable[[str], policy.ServicePolicy],
-        bounds: RetryBudgetLimits,
-        far_cost: float = 0.04,
+        find_policy: Callable[[str], policy.ServicePolicy],
+        limits: RetryBudgetLimits,
+        cross_domain_cost_per_kilobyte: float = 0.04,
     ):
         self.reachability = reachability.Reachability()
         self.latencies = latency.RouteLatencies()
         self.response_sizes = response_sizes.ResponseSizes()
         self.shortest_objective_by_service: dict[str, float] = {}
-        self.far_cost = far_cost
+        self.cross_domain_cost_per_kilobyte = cross_domain_cost_per_kilobyte
         self._name = name
         self._domain = domain
         self._rng = rng
-        self._program = program
-        self._bounds = bounds
+        self._find_policy = find_policy
+        self._limits = limits
         self._state_by_service: dict[str, _ServiceState] = {}
         self._targets_by_process: dict[str, dict[str, str]] = {}
         self.process_count = 0
         self.selection_count = 0
 
-    def set_retry_limits(self, bounds: RetryBudgetLimits) -> None:
+    def set_retry_limits(self, limits: RetryBudgetLimits) -> None:
         """Changes the limits of all retry budgets and keeps their counts."""
-        self._bounds = bounds
+        self._limits = limits
         for service_state in self._state_by_service.values():
             service_state.budget.set_limits(
-                bounds.ratio, bounds.window, bounds.reserve
+                limits.ratio, limits.window, limits.reserve
             )
 
     # Known targets.
@@ -268,10 +269,10 @@
             tried: Targets that the request reached already; not selected.
             now: Monotonic seconds.
             refused: Targets that refused the request recently; not selected.
-                While one of them is not ejected, an ejected target is only
-                selected if it is probably healthy: a target that fails at once
-                always has a free slot and would attract all waiting requests.
-                Requests that are not idempotent never go to ejected targets.
+                While one of them is not ejected, an ejected target is selected
+                only if it is probably healthy. Otherwise a target that fails at
+                once, and so always has a free slot, would attract all waiting
+                requests.
 
         Returns:
             The selection, or None if no target meets the requirements.
@@ -339,7 +340,8 @@
             selection: The target of the attempt.
             load: Load report of the target, if there was a response.
             now: Monotonic seconds.
-            distribution: Latency of the route, updated from the report.
+            distribution: Latency distribution of the route, updated from the
+                load report.
         """
         service_state = self._state_by_service.get(service)
         view = (
@@ -352,7 +354,9 @@
         view.in_flight = max(0, view.in_flight - 1)
         if load is not None:
             view.update_load(load, now)
-            service_state.failing.record_remote(load.failure_percent / 100, now)
+            service_state.failure_rate.record_remote(
+                load.failure_percent / 100, now
+            )
             if distribution is not None and load.latency > 0:
                 distribution.blend(
                     load.latency, load.latency_spread, LATENCY_GAIN
@@ -360,18 +364,18 @@
 
     def record_failure(self, service: str, now: float) -> None:
         """Records that a request to a service failed at its target."""
-        self._service_state(service).failing.failures.record(now)
+        self._service_state(service).failure_rate.failures.record(now)
 
     def failure_percent(self, service: str, now: float) -> int:
         """Returns the percentage of our requests to a service that fail."""
-        return round(100 * self._service_state(service).failing.local(now))
+        return round(100 * self._service_state(service).failure_rate.local(now))
 
     # Retry budget.
 
     def record_request(self, service: str, now: float) -> None:
         """Records a request of a caller, which adds to the retry budget."""
         service_state = self._service_state(service)
-        service_state.failing.requests.record(now)
+        service_state.failure_rate.requests.record(now)
         service_state.budget.record_request(now)
 
     def spend_retry(
@@ -404,7 +408,7 @@
                 self.shortest_objective_by_service.get(name, 0.0) < objective
             )
             if may_be_called and name != service:
-                service_state.budget.charge_calls(now, self._bounds.calls)
+                service_state.budget.charge_calls(now, self._limits.calls)
         return True
 
     def retries_refused(self, service: str) -> int:
@@ -415,7 +419,7 @@
         service_state = self._state_by_service.get(service)
         if service_state is None:
             service_state = self._state_by_service[service] = _ServiceState(
-                self._bounds
+                self._limits
             )
         return service_state
 
@@ -460,7 +464,7 @@
         """
         if not requirements.allows_trial:
             return None
-        max_idle = LOCAL_IDLE_LIMIT
+        max_idle = MAX_LOCAL_IDLE_SECONDS
         if not requirements.idempotent:
             max_idle = self._max_idle_seconds(service_state, now)
         for view in healthy:
@@ -477,17 +481,16 @@
     ) -> float:
         """Returns the idle time after which a target gets the next request.
 
-        While the failure rate is low, this applies only to targets that have
-        never received a request: at startup, nothing is known of the others
-        either.
+        While the failure rate is low, only a target that has never received a
+        request gets it. At startup, the health of the others is unknown, too.
         """
-        if service_state.failing.combined(now) < HIGH_FAILURE_SHARE:
-            return NEVER_USED
+        if service_state.failure_rate.combined(now) < HIGH_FAILURE_SHARE:
+            return MIN_UNUSED_IDLE_SECONDS
         lead_time = (
             EXPECTED_REQUESTS_LEFT
-            * service_state.failing.requests.mean_interval(now)
+            * service_state.failure_rate.requests.mean_interval(now)
         )
-        return max(MIN_LOCAL_IDLE_LIMIT, CAPACITY_FLOOR_WINDOW - lead_time)
+        return max(MIN_LOCAL_IDLE_SECONDS, CAPACITY_FLOOR_SECONDS - lead_time)
 
     def _select_for_trial(
         self,
@@ -513,25 +516,28 @@
     ) -> TargetView:
         if len(pool) == 1:
             return pool[0]
-        program = self._program(requirements.service)
+        service_policy = self._find_policy(requirements.service)
         candidates = [
-            self._candidate(program, requirements, view, now) for view in pool
+            self._candidate(service_policy, requirements, view, now)
+            for view in pool
+        ]
+        algorithm = balancing_algorithms.algorithm_by_name[
+            service_policy.spread
         ]
-        algorithm = balancing_algorithms.algorithm_by_name[program.spread]
         name = algorithm(candidates, self._rng).name
         return next(view for view in pool if view.name == name)
 
     def _candidate(
         self,
-        program: policy.ServicePolicy,
+        service_policy: policy.ServicePolicy,
         requirements: Requirements,
         view: TargetView,
         now: float,
     ) -> balancing_algorithms.Candidate:
         load = view.load(now)
         weight = 1.0
-        if program.weight is not policy.EQUAL_WEIGHT:
-            weight = program.weight.evaluate(
+        if service_policy.weight is not policy.EQUAL_WEIGHT:
+            weight = service_policy.weight.evaluate(
                 load=load,
                 slots=view.slots,
                 same_domain=view.same_domain,
@@ -552,7 +558,8 @@
             loss * view.unhealthy_probability(now),
             0.0
             if view.same_domain
-            else self.far_cost * (HEADER_KILOBYTES + requirements.kilobytes),
+            else self.cross_domain_cost_per_kilobyte
+            * (HEADER_KILOBYTES + requirements.kilobytes),
         )
 
     def _update_target(
@@ -564,8 +571,8 @@
         if same and view.boot == info.boot:
             view.update_info(target)
             return
-        # After a restart of the process, its old state is discarded: the target
-        # may have been paused only because the process stopped.
+        # After a restart of the process, the old state of its target is
+        # discarded, as the target may have been paused only for the restart.
         same_domain = target.domain == self._domain
         service_state.view_by_target[target.name] = TargetView(
             target, info, same_domain
@@ -580,7 +587,7 @@
             service_state.subset = None
 
     def _target_subset(self, service_state: _ServiceState) -> list[str]:
-        """Returns the targets to send to, selected again after each change."""
+        """Returns the targets to send to; recomputed if the targets change."""
         if service_state.subset is None:
             names = sorted(service_state.view_by_target)
             if len(names) > SUBSET_SIZE:
--- a/forklift/policy.py
+++ b/forklift/policy.py
@@ -17,10 +17,11 @@
 # Response statuses that are retried on another target if the request is
 # idempotent.
 _RETRIED_STATUSES = (500, 502, 503, 504)
-# Statuses from 500 that do not count as a failure of the target.
+# Statuses of 500 and above that do not count as a failure of the target.
 _NON_FAILURE_STATUSES = (501, 503)
 
 _RESPONSE_SAMPLE = {"status": 200}
+# The policy language calls idempotent requests repeatable.
 _RETRY_SAMPLE = {
     "attempt": 1,
     "status": 503,
@@ -122,16 +123,17 @@
 
     Attributes:
         name: Name of the policy.
-        service_by_name: Rules by service name; may contain `DEFAULT`.
+        service_by_name: Rules by service name; the rules under `DEFAULT`, if
+            any, apply to all other services.
     """
 
     name: str
     service_by_name: dict[str, ServicePolicy]
 
-    def program(self, service: str) -> ServicePolicy:
+    def service_policy(self, service: str) -> ServicePolicy:
         """Returns the rules for a service.
 
-        >>> BUILT_IN.program("s").spread
+        >>> BUILT_IN.service_policy("s").spread
         'least-cost'
         """
         named = self.service_by_name.get(service)
@@ -181,8 +183,8 @@
     """Returns all problems of a policy file."""
     try:
         parse(file, content)
-    except errors.FileProblems as found:
-        return found.problems
+    except errors.FileProblems as error:
+        return error.problems
     return ()
 
 
--- a/forklift/rates.py
+++ b/forklift/rates.py
@@ -2,11 +2,11 @@
 
 import math
 
-# Decay time of failure rates.
+# Time constant of the decay of failure rates.
 FAILURE_RATE_DECAY_SECONDS = 4.0
-# Least weight of one remote report in the remote rate, and the weight of the
-# remote rate, in requests.
+# Minimum weight of one remote report in the remote failure rate.
 MIN_REMOTE_GAIN = 0.2
+# Weight of the remote failure rate in the combined rate, in requests.
 REMOTE_WEIGHT = 10.0
 
 
@@ -24,7 +24,7 @@
         """Creates a counter without events.
 
         Args:
-            seconds: Decay time; an event of this age counts 1/e.
+            seconds: Time constant; an event of this age counts 1/e.
         """
         self._decay_seconds = seconds
         self._count = 0.0
@@ -45,8 +45,8 @@
 
     def mean_interval(self, now: float) -> float:
         """Mean seconds between events; infinite without events."""
-        recent = self.count(now)
-        return self._decay_seconds / recent if recent else math.inf
+        count = self.count(now)
+        return self._decay_seconds / count if count else math.inf
 
 
 class FailureRate:
--- a/forklift/reachability.py
+++ b/forklift/reachability.py
@@ -2,18 +2,16 @@
 
 A process becomes unreachable when its connection breaks or when an expected
 reply does not arrive in time; the health of its targets is not affected. It
-becomes reachable again as soon as a message from it arrives. Heartbeats ask
-for such a message, so no request is sent to an unreachable process.
+becomes reachable again as soon as a message from it arrives. Heartbeats request
+such a message, so no request of a caller is needed to test the connection.
 """
 
-# Seconds without an expected reply after which a process is unreachable. Peers
-# send a keep-alive every 0.2 s while a reply is due, so two are missing and one
-# tick has passed.
-REPLY_TIMEOUT = 0.5
-# Seconds until the first heartbeat to an unreachable process, and the maximum
-# after repeated failures.
-INITIAL_BACKOFF = 0.25
-MAX_BACKOFF = 1.0
+# Seconds without an expected reply after which a process is unreachable.
+REPLY_TIMEOUT_SECONDS = 0.5
+# Seconds until the first heartbeat to an unreachable process.
+INITIAL_BACKOFF_SECONDS = 0.25
+# Maximum of that time after repeated failures.
+MAX_BACKOFF_SECONDS = 1.0
 
 
 class _Peer:
@@ -22,8 +20,10 @@
     Attributes:
         failures: Consecutive failures.
         unreachable: Whether no requests may be sent to it.
-        next_heartbeat_at: Monotonic seconds.
-        reply_expected_since: Monotonic seconds; None if no reply is due.
+        next_heartbeat_at: Monotonic seconds at which the next heartbeat is
+            due while the process is unreachable.
+        reply_expected_since: Monotonic seconds since which a reply is due;
+            None if none is.
         cause: Cause of the last failure.
     """
 
@@ -42,8 +42,8 @@
         self._peer_by_process: dict[str, _Peer] = {}
 
     @property
-    def needs_checks(self) -> bool:
-        """Whether a reply is due or a process is unreachable."""
+    def has_running_timers(self) -> bool:
+        """Whether a reply timeout or a heartbeat timer is running."""
         return any(
             peer.unreachable or peer.reply_expected_since is not None
             for peer in self._peer_by_process.values()
@@ -85,8 +85,8 @@
         """Marks a process as unreachable until a message from it arrives."""
         peer = self._peer_by_process.setdefault(process, _Peer())
         peer.failures += 1
-        delay = INITIAL_BACKOFF * 2 ** min(peer.failures - 1, 8)
-        peer.next_heartbeat_at = now + min(MAX_BACKOFF, delay)
+        delay = INITIAL_BACKOFF_SECONDS * 2 ** min(peer.failures - 1, 8)
+        peer.next_heartbeat_at = now + min(MAX_BACKOFF_SECONDS, delay)
         peer.unreachable = True
         peer.reply_expected_since = None
         peer.cause = cause
@@ -96,11 +96,11 @@
         self._peer_by_process.pop(process, None)
 
     def take_due_heartbeats(self, now: float) -> list[str]:
-        """Returns the unreachable processes to which a heartbeat is due."""
+        """Returns the processes whose heartbeat is due; schedules the next."""
         due = []
         for process, peer in self._peer_by_process.items():
             if peer.unreachable and now >= peer.next_heartbeat_at:
-                peer.next_heartbeat_at = now + MAX_BACKOFF / 2
+                peer.next_heartbeat_at = now + MAX_BACKOFF_SECONDS / 2
                 due.append(process)
         return due
 
@@ -110,7 +110,7 @@
             process
             for process, peer in self._peer_by_process.items()
             if peer.reply_expected_since is not None
-            and now - peer.reply_expected_since >= REPLY_TIMEOUT
+            and now - peer.reply_expected_since >= REPLY_TIMEOUT_SECONDS
         ]
         for process in timed_out:
             self.mark_unreachable(process, "silent", now)
--- a/forklift/rendezvous.py
+++ b/forklift/rendezvous.py
@@ -1,8 +1,8 @@
 """Rendezvous hashing (Thaler and Ravishankar, 1998).
 
-Each name is scored by a hash of a salt and the name, and the highest scores
-are selected. All processes compute the same ranking, and adding or removing a
-name moves only the share of that name.
+The score of a name is a hash of a salt and the name; the names with the highest
+scores are selected. All processes compute the same ranking. Adding or removing
+a name does not change the order of the others.
 """
 
 import functools
@@ -10,7 +10,7 @@
 
 import xxhash
 
-# Entries of the score cache; enough for a large fleet and several salts.
+# Maximum number of scores that the cache holds.
 CACHED_SCORES = 8192
 
 
--- a/forklift/response_sizes.py
+++ b/forklift/response_sizes.py
@@ -2,9 +2,9 @@
 
 import collections
 
-# Weight of the last response in the moving average.
+# Weight of the latest response in the moving average.
 SIZE_GAIN = 0.1
-# Routes kept; the one least recently updated is evicted first.
+# Maximum number of routes; the least recently updated one is evicted first.
 MAX_ROUTES = 256
 
 
--- a/forklift/retries.py
+++ b/forklift/retries.py
@@ -1,7 +1,7 @@
 """Retry state of one request: when to wait, retry, hedge or give up.
 
 Targets may refuse a request, fail or be busy. Each result changes which
-targets the request accepts next, until it is given up. The state does no
+targets the request accepts next, until it is given up. The state performs no
 input or output; the current time is a parameter.
 """
 
@@ -15,39 +15,38 @@
 
 Reason = messages.Reason
 
-# Initial and maximum seconds between two searches for a target while there is
-# none to send to. The interval doubles, as a search may send messages to
-# several processes.
-POLL_INTERVAL = 0.02
-MAX_POLL_INTERVAL = 0.16
-# Share of the time limit after which an idempotent request accepts an ejected
-# target if there is no other: a longer wait leaves no time for a response.
-RELAX_AFTER_SHARE = 0.25
-# Share of the time limit within which the first attempt must leave the queue of
-# its target. Later starts mostly miss the deadline, so the caller is told to
-# retry instead.
-START_DEADLINE_SHARE = 0.8
-# Seconds that every request may queue: most bursts end before the caller could
-# retry.
-MIN_QUEUE_TIME = 0.15
-# Refusals after which the request accepts less: an unproven target, then a
-# queue.
+# Initial seconds between two searches for a target while none is available. The
+# interval doubles after each search.
+INITIAL_POLL_SECONDS = 0.02
+# Maximum seconds between two searches.
+MAX_POLL_SECONDS = 0.16
+# Fraction of the time limit after which an idempotent request accepts an
+# ejected target if there is no other.
+ACCEPT_EJECTED_AFTER_FRACTION = 0.25
+# Fraction of the time limit within which the first attempt must leave the queue
+# of its target. Otherwise the caller is told to retry.
+START_DEADLINE_FRACTION = 0.8
+# Seconds for which every request may queue, even if it misses its latency
+# objective.
+MIN_QUEUE_SECONDS = 0.15
+# Refusals after which the requirements are relaxed: first an unproven target is
+# accepted, then queueing.
 MAX_REFUSALS = 4
-# Number of targets that reject the request because the wait would be too long,
-# after which it is given up. The least used targets are asked first.
+# Number of targets whose queue is too long for the request, after which the
+# request is given up.
 MAX_QUEUE_REJECTIONS = 3
 # Standard deviations above the median latency of the route after which an
-# idempotent request is hedged; one healthy request in 25 is that slow. The
-# hedge is sent earlier if it can then still meet the latency objective, but not
-# before the second number of deviations, which one in six exceeds.
+# idempotent request is hedged. The hedge is sent earlier if it can then still
+# meet the latency objective.
 HEDGE_DEVIATIONS = 1.75
+# Standard deviations above the median latency before which no hedge is sent.
 MIN_HEDGE_DEVIATIONS = 1.0
-# Maximum share added at random to Retry-After, so that callers that were
+# Maximum fraction added at random to Retry-After, so that callers that were
 # refused together do not all retry at the same time.
 RETRY_AFTER_JITTER = 0.5
 # Refusals by the target itself: the request reached it but did not run.
 _REFUSED_BY_TARGET = (Reason.SHED,)
-# Refusals after which the target is skipped for a while. For all others, the
+# Refusals after which the target is skipped for a while. After all others, the
 # reported state of the target already keeps requests away.
 _RETRY_ELSEWHERE = (
     Reason.BUSY,
@@ -63,7 +62,7 @@
 
 @dataclasses.dataclass
 class RetryState:
-    """Results of a request so far, and what it accepts next.
+    """Results of the attempts so far, and which targets are accepted next.
 
     Attributes:
         started: Monotonic seconds at which the request arrived.
@@ -76,11 +75,11 @@
         budget_charged: Whether the next attempt has been charged to the retry
             budget.
         process_exits_at: Monotonic seconds at which this process exits.
-        accepts_unproven: Whether it accepts targets that are not ejected but
-            not proven to be healthy.
-        wait: Whether it queues at a target without a free slot.
-        exclusive: Whether it must run alone, as a target crashed while running
-            it.
+        accepts_unproven: Whether the request accepts targets that are not
+            ejected but not proven to be healthy.
+        wait: Whether the request queues at a target without a free slot.
+        exclusive: Whether no other request may run on the target at the same
+            time, as a target crashed while running the request.
         polls: Number of searches that found no target.
         refusals_by_reason: Number of refusals by reason, for the trace of the
             request.
@@ -102,15 +101,15 @@
         default_factory=collections.Counter
     )
     polls: int = 0
-    _refused_for_good: bool = False
+    _refused_permanently: bool = False
     _refusals: int = 0
     _queue_rejections: int = 0
 
     @property
     def exhausted(self) -> bool:
-        """Whether no target is left that could accept it in time."""
+        """Whether no target is left that could accept the request in time."""
         return (
-            self._refused_for_good
+            self._refused_permanently
             or self._queue_rejections >= MAX_QUEUE_REJECTIONS
         )
 
@@ -120,9 +119,9 @@
         """Returns the monotonic time by which the request must start to run.
 
         During overload, a slot given to a request that misses its objective
-        makes another request miss its own. So a request queues only while it
-        can still meet the objective, and is then refused. Requests that have
-        reached a target may start until the process exits.
+        makes another request miss its own. So a request is refused as soon as
+        it can't meet the objective any more. Requests that have reached a
+        target may start until the process exits.
 
         Args:
             distribution: Latency distribution of the route.
@@ -133,18 +132,18 @@
         time_limit = self.deadline - self.started
         latest_start = min(
             self.process_exits_at,
-            self.started + START_DEADLINE_SHARE * time_limit,
+            self.started + START_DEADLINE_FRACTION * time_limit,
         )
         latest_for_objective = max(
             soft_deadline - distribution.learned_median,
-            self.started + MIN_QUEUE_TIME,
+            self.started + MIN_QUEUE_SECONDS,
         )
         return min(latest_start, latest_for_objective)
 
     def required_health(self, now: float) -> admission.RequiredHealth:
         """Returns how healthy a target must be to be accepted now."""
         time_limit = self.deadline - self.started
-        if now >= self.started + RELAX_AFTER_SHARE * time_limit:
+        if now >= self.started + ACCEPT_EJECTED_AFTER_FRACTION * time_limit:
             return admission.RequiredHealth.ANY
         return (
             admission.RequiredHealth.SOUND
@@ -153,14 +152,14 @@
         )
 
     def relax_requirements(self) -> bool:
-        """Accepts targets that were not good enough so far.
+        """Relaxes the requirements on the next target.
 
         The request first requires a proven target with a free slot, then
-        accepts an unproven one that is idle, and at last queues. It does not
-        queue earlier, as idle targets would stay unused meanwhile.
+        accepts an unproven target with a free slot, and finally queues. It does
+        not queue earlier, as unproven targets would stay idle meanwhile.
 
         Returns:
-            Whether there was anything left to relax.
+            Whether any requirement was left to relax.
         """
         if self.unproven and not self.accepts_unproven:
             self.accepts_unproven = True
@@ -177,7 +176,7 @@
 
     def next_poll_delay(self) -> float:
         """Returns the seconds until the next search for a target."""
-        delay = min(MAX_POLL_INTERVAL, POLL_INTERVAL * 2**self.polls)
+        delay = min(MAX_POLL_SECONDS, INITIAL_POLL_SECONDS * 2**self.polls)
         self.polls += 1
         self.refused.clear()
         return delay
@@ -189,7 +188,7 @@
             self._record_arrival(target)
         if reason in (Reason.DEADLINE, Reason.QUARANTINED):
             # All other targets would refuse the request for the same reason.
-            self._refused_for_good = True
+            self._refused_permanently = True
         if reason not in _RETRY_ELSEWHERE:
             return
         self.refused.add(target)
@@ -213,7 +212,7 @@
         soft_deadline: float,
         now: float,
     ) -> bool:
-        """Returns whether it is too late for a response.
+        """Returns whether it is too late to receive a response.
 
         Args:
             distribution: Latency distribution of the route.
--- a/forklift/retry_budget.py
+++ b/forklift/retry_budget.py
@@ -8,8 +8,8 @@
 
 import collections
 
-# Share of the budget that may be spent. The rest covers retries in flight when
-# the window moves.
+# Share of the budget that may be spent. The remainder covers retries in flight
+# when the window moves.
 USABLE_SHARE = 0.9
 
 
@@ -78,15 +78,15 @@
         self._requests.add(now)
 
     def spend(self, now: float, processes: int, share: float = 1.0) -> bool:
-        """Spends one retry; False if the budget is exhausted.
+        """Spends one retry; returns False if the budget is exhausted.
 
         Args:
             now: Monotonic seconds.
-            processes: Known processes, including this one; 0 before any peer
-                is known, which allows none of the reserve. The reserve is
-                divided by the highest number so far, as fewer may mean a
-                network partition.
-            share: Share of the budget that this kind of retry may use up.
+            processes: Number of known processes, including this one; 0 until
+                the first peer is known, when the reserve can't be used. The
+                reserve is divided by the highest number so far, as a lower
+                number may be caused by a network partition.
+            share: Fraction of the budget that this kind of retry may use.
         """
         self._max_processes = max(self._max_processes, processes)
         reserve = 0.0
--- a/forklift/routing.py
+++ b/forklift/routing.py
@@ -14,11 +14,12 @@
 
 R = TypeVar("R", bound="Routable")
 ANY_HOST = "*"
+# Maximum number of leading path segments that are matched, plus one.
 MAX_DEPTH = 32
 
 
 @dataclasses.dataclass(frozen=True)
-class Route:
+class ServiceRoute:
     """Assigns the requests for a host and path prefix to a service.
 
     Attributes:
@@ -55,9 +56,9 @@
 class Table(Generic[R]):
     """Finds the route for a host and path by longest prefix match.
 
-    A prefix matches whole path segments, so a trailing slash is ignored. If
-    prefixes are literal, a prefix with a trailing slash matches only paths
-    that have the slash, too.
+    A prefix matches whole path segments, and its trailing slash is ignored. If
+    `literal` is set, a prefix with a trailing slash matches only paths that
+    have this slash.
     """
 
     def __init__(self, routes: Iterable[R], literal: bool = False):
@@ -76,10 +77,12 @@
             yield from route_by_prefix.values()
 
     def find(self, host: str, path: str) -> R | None:
-        """Returns the route with the longest prefix; exact hosts win.
+        """Returns the route with the longest matching prefix, if any.
 
-        >>> table = Table([Route("a", "*", "/", "x"),
-        ...                Route("b", "h", "/copies", "y")])
+        Routes for the exact host take precedence over those for `ANY_HOST`.
+
+        >>> table = Table([ServiceRoute("a", "*", "/", "x"),
+        ...                ServiceRoute("b", "h", "/copies", "y")])
         >>> table.find("h:80", "/copies/7?draft=1").service
         'y'
         >>> table.find("h", "/copiesx").service
--- a/forklift/shell/local_targets.py
+++ b/forklift/shell/local_targets.py
@@ -136,17 +136,21 @@
     def drain(self, name: str) -> None:
         """Stops sending new requests to a target."""
         local_target = self.by_name[name]
-        self._apply_decisions(local_target, local_target.controller.drain())
+        self._apply_decisions(
+            local_target, local_target.controller.mark_draining()
+        )
 
     def pause(self, name: str) -> None:
         """Stops sending new requests to a target, as this process stops."""
         local_target = self.by_name[name]
-        self._apply_decisions(local_target, local_target.controller.pause())
+        self._apply_decisions(
+            local_target, local_target.controller.mark_paused()
+        )
 
     def leave(self, name: str) -> None:
         """Handles that a target is gone."""
         local_target = self.by_name[name]
-        self._apply_decisions(local_target, local_target.controller.leave())
+        self._apply_decisions(local_target, local_target.controller.mark_left())
 
     def tick(self, now: float) -> None:
         """Runs the periodic work of all admission controllers."""
@@ -236,9 +240,9 @@
             decision = local_target.controller.admit(
                 ticket, self._clock.monotonic()
             )
-            if isinstance(decision, admission.Wait):
+            if isinstance(decision, admission.Queued):
                 decision = await self._wait(local_target, ticket)
-            if isinstance(decision, admission.Refuse):
+            if isinstance(decision, admission.Refused):
                 self.fences.check_not_started(ticket.id)
                 load = self._load(local_target, request.route)
                 return exchange.not_run(
@@ -257,7 +261,7 @@
             return await future
         except asyncio.CancelledError:
             started = future.done() and not future.cancelled()
-            if started and isinstance(future.result(), admission.Start):
+            if started and isinstance(future.result(), admission.Started):
                 self._finish(local_target, ticket, None)
             local_target.controller.cancel(ticket)
             raise
@@ -293,7 +297,7 @@
                 )
             candidates.discard(ticket.id)
             signal = self._signal(local_target.controller.service, status)
-            if signal is Signal.WELL:
+            if signal is Signal.SUCCESS:
                 # Error responses do not count: a target that is unhealthy may
                 # fail a request early that would crash it otherwise.
                 self._record_success(request.fingerprint)
@@ -418,7 +422,9 @@
     def _signal(self, service: str, status: int) -> Signal:
         service_policy: policy.ServicePolicy = self._find_policy(service)
         return (
-            Signal.ERROR if service_policy.is_failure(status) else Signal.WELL
+            Signal.ERROR
+            if service_policy.is_failure(status)
+            else Signal.SUCCESS
         )
 
     def _timeout_result(self, ticket: admission.Ticket) -> exchange.Result:
@@ -451,7 +457,7 @@
             future = self._decision_by_id.pop(decision.ticket.id, None)
             if future is not None and not future.done():
                 future.set_result(decision)
-            elif isinstance(decision, admission.Start):
+            elif isinstance(decision, admission.Started):
                 # The sender is gone; the slot is free for the next request.
                 self._finish(local_target, decision.ticket, None)
         if version != local_target.controller.version:
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -357,7 +357,7 @@
         self.policy = load_policy(changed)
         self.balancer.set_retry_limits(_retry_budget_limits(self.settings))
         self.rate_limiter.limiter.set_bounds(_rate_limit_bounds(changed))
-        self.balancer.far_cost = changed.limits.far_cost
+        self.balancer.cross_domain_cost_per_kilobyte = changed.limits.far_cost
 
     def running(self) -> int:
         """Number of requests in flight, from callers and from peers."""
@@ -401,7 +401,7 @@
 
     def service_policy(self, service: str) -> policy.ServicePolicy:
         """Returns the rules for a service."""
-        return self.policy.program(service)
+        return self.policy.service_policy(service)
 
     def _store_data_lost(self) -> None:
         """Repeats writes and reads after the store lost acknowledged data."""
@@ -608,7 +608,7 @@
         return bool(
             self.ingress.running
             or self.local_targets.running
-            or self.balancer.reachability.needs_checks
+            or self.balancer.reachability.has_running_timers
             or self.control_protocols.is_active(self.clock.monotonic())
         )
 
--- a/forklift/target_view.py
+++ b/forklift/target_view.py
@@ -1,7 +1,8 @@
-"""What this process knows about a target, its own or another process's.
+"""State and load of a target as known to this process.
 
-Own requests are counted exactly. Those of other processes are known from the
-last load report of the target's process, whose weight decays with its age.
+Requests that this process sends are counted exactly. Requests of other
+processes are known from the last load report of the target's process, whose
+weight decays with its age.
 """
 
 import math
@@ -17,7 +18,7 @@
 
 
 class TargetView:
-    """State and load of one target as known to this process.
+    """View of one target, updated by gossip and load reports.
 
     Attributes:
         name: Name of the target.
@@ -29,7 +30,7 @@
         pick_count: Number of times that this process selected the target.
         next_trial_at: Monotonic seconds from which a trial request may be sent
             while the target is ejected.
-        wants_work: Whether its process asked for a request.
+        wants_work: Whether the target's process asked for a request.
         version: Version of the last load report.
     """
 
@@ -75,8 +76,8 @@
     def state(self, now: float) -> State:
         """Returns the last reported state.
 
-        Load shedding expires after `health.SHEDDING_SECONDS`: its end is
-        reported only in responses, and no process would send requests.
+        Load shedding expires after `health.SHEDDING_SECONDS`. Otherwise no
+        process would send a request whose response could report its end.
         """
         expired = now - self._reported_at >= health.SHEDDING_SECONDS
         if self._state is State.SHEDDING and expired:
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -53,7 +53,7 @@
                 name,
                 "d",
                 rng,
-                policy.BUILT_IN.program,
+                policy.BUILT_IN.service_policy,
                 load_balancer.RetryBudgetLimits(),
             ),
             types.SimpleNamespace(by_name={}),
--- a/test/replay.py
+++ b/test/replay.py
@@ -136,10 +136,10 @@
 
     def _decided(self, decisions: list[admission.Decision], now: float) -> None:
         for decision in decisions:
-            if isinstance(decision, admission.Wait):
+            if isinstance(decision, admission.Queued):
                 continue
             asked = self._asked_by_id.pop(decision.ticket.id)
-            if isinstance(decision, admission.Start):
+            if isinstance(decision, admission.Started):
                 self._start(*asked, decision.ticket, now)
             else:
                 self._refused(*asked, decision, now)
@@ -149,7 +149,7 @@
         course: Course,
         retry_state: retries.RetryState,
         found: admission.Controller,
-        decision: admission.Refuse,
+        decision: admission.Refused,
         now: float,
     ) -> None:
         course.ended = now
@@ -171,7 +171,7 @@
         hangs = self._bad(self.gates.index(found), now)
         hangs = hangs and self._rng.random() < health.UNHEALTHY_FAILURE_RATE
         lost = hangs or now + takes > ticket.deadline
-        sign = None if lost else Signal.WELL
+        sign = None if lost else Signal.SUCCESS
 
         def end(at: float) -> None:
             course.ended = at
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -21,8 +21,8 @@
     controller = admission.Controller("t", "s", slots)
     distribution = latency.Distribution(0.01)
     for number in range(4 if proven else 0):
-        controller.health.begin(number, distribution, -0.01)
-        controller.health.end(number, Signal.WELL, 0.0)
+        controller.health.record_start(number, distribution, -0.01)
+        controller.health.record_end(number, Signal.SUCCESS, 0.0)
     train_latency(controller, 0.1)
     return controller
 
@@ -65,7 +65,7 @@
 def test_running_requests_do_not_exceed_the_slots():
     controller = make_controller(slots=2)
     fill(controller, 2)
-    assert isinstance(controller.admit(ticket(), 0.0), admission.Wait)
+    assert isinstance(controller.admit(ticket(), 0.0), admission.Queued)
     assert controller.running == 2
 
 
@@ -77,8 +77,10 @@
         controller.admit(one, 0.0)
     order = []
     for done in (running, urgent, early):
-        decisions = controller.finish(done, Signal.WELL, 0.1)
-        order += [d.ticket for d in decisions if isinstance(d, admission.Start)]
+        decisions = controller.finish(done, Signal.SUCCESS, 0.1)
+        order += [
+            d.ticket for d in decisions if isinstance(d, admission.Started)
+        ]
     assert order == [urgent, early, late]
 
 
@@ -91,7 +93,7 @@
     )
     for one in (later, refused_elsewhere):
         controller.admit(one, 0.0)
-    decisions = controller.finish(running, Signal.WELL, 0.1)
+    decisions = controller.finish(running, Signal.SUCCESS, 0.1)
     assert [d.ticket for d in decisions] == [refused_elsewhere]
 
 
@@ -99,7 +101,7 @@
     controller = make_controller(slots=1)
     fill(controller, 1)
     decision = controller.admit(ticket(deadline=0.01), 0.0)
-    assert isinstance(decision, admission.Refuse)
+    assert isinstance(decision, admission.Refused)
     assert decision.reason is Reason.BUSY
     assert decision.retry_after > 0
 
@@ -109,7 +111,7 @@
     assert decision.reason is Reason.DEADLINE
 
 
-@pytest.mark.parametrize("leaving", ["drain", "leave"])
+@pytest.mark.parametrize("leaving", ["mark_draining", "mark_left"])
 def test_leaving_target_refuses_queued_and_new_requests(leaving):
     controller = make_controller(slots=1)
     running = fill(controller, 1)[0]
@@ -118,7 +120,7 @@
     refused = getattr(controller, leaving)()
     assert [d.ticket for d in refused] == [waiting]
     assert controller.admit(ticket(), 0.0).reason is Reason.DRAINING
-    assert controller.finish(running, Signal.WELL, 0.1) == []
+    assert controller.finish(running, Signal.SUCCESS, 0.1) == []
 
 
 def test_one_reset_ejects_the_target_for_non_idempotent_requests():
@@ -138,7 +140,7 @@
     break_connections(controller, 0.0)
     later = health.TRIAL_INTERVAL_SECONDS
     trial = ticket(idempotent=True)
-    assert isinstance(controller.admit(trial, later), admission.Start)
+    assert isinstance(controller.admit(trial, later), admission.Started)
     second = controller.admit(ticket(idempotent=True), later)
     assert second.reason is Reason.EJECTED
 
@@ -149,7 +151,7 @@
     break_connections(controller, 0.0)
     assert controller.admit(ticket(), 0.1).reason is Reason.EJECTED
     one = ticket(required_health=admission.RequiredHealth.ANY, idempotent=True)
-    assert isinstance(controller.admit(one, 0.1), admission.Start)
+    assert isinstance(controller.admit(one, 0.1), admission.Started)
     once = ticket(required_health=admission.RequiredHealth.ANY)
     assert controller.admit(once, 0.1).reason is Reason.EJECTED
 
@@ -158,9 +160,9 @@
     controller = make_controller(proven=False)
     assert controller.admit(ticket(), 5.0).reason is Reason.UNPROVEN
     sound = ticket(required_health=admission.RequiredHealth.SOUND)
-    assert isinstance(controller.admit(sound, 5.0), admission.Start)
+    assert isinstance(controller.admit(sound, 5.0), admission.Started)
     assert isinstance(
-        controller.admit(ticket(idempotent=True), 5.0), admission.Start
+        controller.admit(ticket(idempotent=True), 5.0), admission.Started
     )
 
 
@@ -169,8 +171,8 @@
     for _ in range(2):
         one = ticket(idempotent=True)
         controller.admit(one, 5.0)
-        controller.finish(one, Signal.WELL, 5.1)
-    assert isinstance(controller.admit(ticket(), 5.1), admission.Start)
+        controller.finish(one, Signal.SUCCESS, 5.1)
+    assert isinstance(controller.admit(ticket(), 5.1), admission.Started)
 
 
 def test_hanging_requests_eject_the_target_before_they_end():
@@ -194,7 +196,7 @@
     train_latency(controller, 2.0)
     one = fill(controller, 1)[0]
     controller.tick(3.0)
-    controller.finish(one, Signal.WELL, 3.0)
+    controller.finish(one, Signal.SUCCESS, 3.0)
     assert not controller.health.ejected
 
 
@@ -204,7 +206,7 @@
     train_latency(controller, 0.1)
     controller.admit(ticket(deadline=5.0), 0.0)
     assert isinstance(
-        controller.admit(ticket(start_by=2.0), 0.05), admission.Wait
+        controller.admit(ticket(start_by=2.0), 0.05), admission.Queued
     )
     request = ticket(
         required_health=admission.RequiredHealth.ANY,
@@ -242,7 +244,7 @@
     controller.admit(waiting, 0.0)
     assert controller.cancel(waiting)
     assert not controller.cancel(waiting)
-    assert controller.finish(running, Signal.WELL, 0.1) == []
+    assert controller.finish(running, Signal.SUCCESS, 0.1) == []
 
 
 def test_queued_requests_are_refused_at_their_deadline():
@@ -263,10 +265,10 @@
     controller = make_controller(slots=1)
     fill(controller, 1)
     waiting = ticket(priority=2, start_by=0.3)
-    assert isinstance(controller.admit(waiting, 0.0), admission.Wait)
+    assert isinstance(controller.admit(waiting, 0.0), admission.Queued)
     controller.admit(ticket(priority=0), 0.1)
     decisions = controller.tick(0.3)
-    refused = [d for d in decisions if isinstance(d, admission.Refuse)]
+    refused = [d for d in decisions if isinstance(d, admission.Refused)]
     assert [d.ticket for d in refused] == [waiting]
     assert refused[0].retry_after > 0
 
@@ -280,7 +282,7 @@
 
 def test_load_reports_ejection_probability_and_route_latency():
     controller = make_controller()
-    assert controller.load(2.0).idle == admission.MAX_IDLE_SECONDS
+    assert controller.load(2.0).idle == admission.UNUSED_IDLE_SECONDS
     assert (
         controller.load(2.0).unhealthy_probability < health.EJECTION_THRESHOLD
     )
@@ -300,14 +302,18 @@
     fill(controller, 1)
     decision = controller.admit(ticket(wait=False), 0.0)
     assert decision.reason is Reason.BUSY
-    assert isinstance(controller.admit(ticket(wait=True), 0.0), admission.Wait)
+    assert isinstance(
+        controller.admit(ticket(wait=True), 0.0), admission.Queued
+    )
 
 
 def test_every_request_accepts_a_short_wait():
     controller = make_controller(slots=1)
     train_latency(controller, admission.SHORT_WAIT_SECONDS / 2)
     fill(controller, 1)
-    assert isinstance(controller.admit(ticket(wait=False), 0.0), admission.Wait)
+    assert isinstance(
+        controller.admit(ticket(wait=False), 0.0), admission.Queued
+    )
 
 
 def test_requests_that_can_meet_their_objective_start_first():
@@ -316,7 +322,7 @@
     late, timely = ticket(soft_deadline=0.2), ticket(soft_deadline=5.0)
     controller.admit(late, 0.0)
     controller.admit(timely, 0.0)
-    started = controller.finish(running, Signal.WELL, 0.3)
+    started = controller.finish(running, Signal.SUCCESS, 0.3)
     assert [d.ticket for d in started] == [timely]
 
 
@@ -328,7 +334,7 @@
     started = controller.finish(running, Signal.SHED, 0.1)
     assert [d.ticket for d in started] == [waiting]
     assert controller.load(0.1).state is messages.TargetState.SHEDDING
-    assert isinstance(controller.admit(ticket(), 0.2), admission.Wait)
+    assert isinstance(controller.admit(ticket(), 0.2), admission.Queued)
 
 
 def test_target_in_slow_start_is_not_proven():
@@ -336,25 +342,29 @@
     controller.cold_until = 5.0
     assert controller.admit(ticket(), 0.5).reason is Reason.UNPROVEN
     sound = ticket(required_health=admission.RequiredHealth.SOUND)
-    assert isinstance(controller.admit(sound, 0.5), admission.Start)
+    assert isinstance(controller.admit(sound, 0.5), admission.Started)
     one = ticket(required_health=admission.RequiredHealth.ANY)
     controller.admit(one, 5.0)
-    controller.finish(one, Signal.WELL, 5.0)
-    assert isinstance(controller.admit(ticket(), 5.1), admission.Start)
+    controller.finish(one, Signal.SUCCESS, 5.0)
+    assert isinstance(controller.admit(ticket(), 5.1), admission.Started)
 
 
 def test_exclusive_request_runs_alone():
     """A crash would lose other requests, which would be suspected as well."""
     one = make_controller(3)
-    beside, behind = ticket(), ticket(wait=True)
-    suspect = ticket(exclusive=True, wait=True)
-    assert isinstance(one.admit(beside, 0.0), admission.Start)
-    assert isinstance(one.admit(suspect, 0.0), admission.Wait)
+    concurrent, behind = ticket(), ticket(wait=True)
+    exclusive_request = ticket(exclusive=True, wait=True)
+    assert isinstance(one.admit(concurrent, 0.0), admission.Started)
+    assert isinstance(one.admit(exclusive_request, 0.0), admission.Queued)
     # Filling the free slots would starve the exclusive request.
-    assert isinstance(one.admit(behind, 0.0), admission.Wait)
-    assert one.finish(beside, Signal.WELL, 0.1) == [admission.Start(suspect)]
+    assert isinstance(one.admit(behind, 0.0), admission.Queued)
+    assert one.finish(concurrent, Signal.SUCCESS, 0.1) == [
+        admission.Started(exclusive_request)
+    ]
     assert one.running == 1
-    assert one.finish(suspect, Signal.WELL, 0.2) == [admission.Start(behind)]
+    assert one.finish(exclusive_request, Signal.SUCCESS, 0.2) == [
+        admission.Started(behind)
+    ]
 
 
 def test_exclusive_request_is_refused_if_others_run_for_long():
@@ -362,5 +372,5 @@
     train_latency(one, 0.9)
     one.admit(ticket(), 0.0)
     decision = one.admit(ticket(exclusive=True, wait=False), 0.0)
-    assert isinstance(decision, admission.Refuse)
-    assert isinstance(one.admit(ticket(), 0.0), admission.Start)
+    assert isinstance(decision, admission.Refused)
+    assert isinstance(one.admit(ticket(), 0.0), admission.Started)
--- a/test/test_control_protocols.py
+++ b/test/test_control_protocols.py
@@ -32,7 +32,7 @@
             self.clock,
             self.active_catalog,
             load_balancer.LoadBalancer(
-                "own", "d", rng, policy.BUILT_IN.program, bounds
+                "own", "d", rng, policy.BUILT_IN.service_policy, bounds
             ),
             types.SimpleNamespace(by_name={}),
             lambda address, message, renew: self.sent.append(message),
--- a/test/test_fences.py
+++ b/test/test_fences.py
@@ -26,9 +26,9 @@
     known = fences.Fences()
     known.try_start(ONE, 0.0)
     assert not known.fence(ONE, 1.0)
-    with helper.counting_violations() as broken:
+    with helper.counting_violations() as violations:
         assert not known.check_not_started(ONE)
-        assert broken()["not-run"] == 1
+        assert violations()["not-run"] == 1
 
 
 @pytest.mark.parametrize("first", ["try_start", "fence"])
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -63,7 +63,7 @@
         return held, sum(one.timely for one in courses)
 
     held, timely = held_and_timely()
-    monkeypatch.setattr(retries, "MIN_QUEUE_TIME", 0.8 * BOOK.timeout)
+    monkeypatch.setattr(retries, "MIN_QUEUE_SECONDS", 0.8 * BOOK.timeout)
     held_longer, timely_longer = held_and_timely()
     assert held_longer > 1.5 * held
     assert timely_longer < 1.05 * timely
@@ -94,7 +94,7 @@
     assert share(during, lambda one: one.served) > 0.75
 
 
-def test_targets_that_hung_are_trusted_again_after_recovery():
+def test_targets_that_hung_are_reinstated_after_recovery():
     simulation = simulate_hanging_targets(until=8.0, arrivals=14.0)
     simulation.run(14.0)
     for found in simulation.gates:
--- a/test/test_load_balancer.py
+++ b/test/test_load_balancer.py
@@ -23,7 +23,7 @@
         process,
         "d",
         random.Random(1),
-        policy.BUILT_IN.program,
+        policy.BUILT_IN.service_policy,
         load_balancer.RetryBudgetLimits(1.0, 10.0, 100.0),
     )
     for name in names:
@@ -33,23 +33,31 @@
     return balancer
 
 
-def alone_with_reserve(reserve: float) -> load_balancer.LoadBalancer:
+def balancer_with_reserve(reserve: float) -> load_balancer.LoadBalancer:
     """The only process, with a retry budget that consists of the reserve."""
     balancer = load_balancer.LoadBalancer(
         "p",
         "d",
         random.Random(1),
-        policy.BUILT_IN.program,
+        policy.BUILT_IN.service_policy,
         load_balancer.RetryBudgetLimits(0.0, 10.0, reserve, calls=1.0),
     )
     balancer.process_count = 1
     return balancer
 
 
-def load(state=State.IN_SERVICE, running=0, version=2, idle=0.0, risk=None):
-    if risk is None:
-        risk = 0.8 if state is State.SUSPECT else 0.05
-    return messages.Load(running, 0, 4, state, version, 0.1, idle, risk)
+def load(
+    state=State.IN_SERVICE,
+    running=0,
+    version=2,
+    idle=0.0,
+    unhealthy_probability=None,
+):
+    if unhealthy_probability is None:
+        unhealthy_probability = 0.8 if state is State.SUSPECT else 0.05
+    return messages.Load(
+        running, 0, 4, state, version, 0.1, idle, unhealthy_probability
+    )
 
 
 def requirements(**changes) -> load_balancer.Requirements:
@@ -81,7 +89,9 @@
         required_health=admission.RequiredHealth.ANY, idempotent=True
     )
     assert selected_targets(balancer, idempotent) == {"a", "b"}
-    balancer.update_load("a", load(State.SUSPECT, risk=0.4), 10.0)
+    balancer.update_load(
+        "a", load(State.SUSPECT, unhealthy_probability=0.4), 10.0
+    )
     assert selected_targets(balancer, accepts_any) == set()
 
 
@@ -114,7 +124,9 @@
 
 def test_probably_healthy_ejected_target_is_preferred_to_waiting():
     balancer = new_balancer("a", "b")
-    balancer.update_load("a", load(State.SUSPECT, risk=0.4), 10.0)
+    balancer.update_load(
+        "a", load(State.SUSPECT, unhealthy_probability=0.4), 10.0
+    )
     asked = requirements(
         required_health=admission.RequiredHealth.ANY, wait=True, idempotent=True
     )
@@ -152,7 +164,9 @@
             if failing:
                 balancer.record_failure("s", now)
             # The load report of the local target.
-            idle = load(idle=now - used_at, risk=health.UNHEALTHY_PRIOR)
+            idle = load(
+                idle=now - used_at, unhealthy_probability=health.UNHEALTHY_PRIOR
+            )
             balancer.update_load("c", idle, now)
             for other in ("a", "b"):
                 balancer.update_load(other, load(), now)
@@ -175,7 +189,9 @@
 def test_non_idempotent_request_goes_to_an_idle_target_only_if_many_fail():
     balancer = new_balancer("a", "b", process="p-b")
     balancer.update_load("a", load(), 10.0)
-    balancer.update_load("b", load(idle=5.0, risk=health.UNHEALTHY_PRIOR), 10.0)
+    balancer.update_load(
+        "b", load(idle=5.0, unhealthy_probability=health.UNHEALTHY_PRIOR), 10.0
+    )
     for step in range(20):
         balancer.record_request("s", 8.0 + step * 0.1)
     assert selected_targets(balancer, requirements()) == {"a"}
@@ -200,22 +216,26 @@
         now += rng.expovariate(1.0)
         count += 1
         balancer.record_request("s", now)
-        idle = load(idle=now - used[-1], risk=health.UNHEALTHY_PRIOR)
+        idle = load(
+            idle=now - used[-1], unhealthy_probability=health.UNHEALTHY_PRIOR
+        )
         balancer.update_load("c", idle, now)
         for other in ("a", "b"):
             balancer.update_load(other, load(), now)
         selection = balancer.select(requirements(), frozenset(), now)
         # Other processes report the failure rate of their few requests.
-        told = sum(rng.random() < failing for _ in range(5)) * 20
-        answer = msgspec.structs.replace(load(), failure_percent=told)
-        balancer.finish_attempt("s", selection, answer, now)
+        failure_percent = sum(rng.random() < failing for _ in range(5)) * 20
+        report = msgspec.structs.replace(
+            load(), failure_percent=failure_percent
+        )
+        balancer.finish_attempt("s", selection, report, now)
         if selection.target == "c":
             used.append(now)
         if rng.random() < failing:
             balancer.record_failure("s", now)
     spans = itertools.pairwise([*used, now])
     watched = sum(
-        min(load_balancer.CAPACITY_FLOOR_WINDOW, b - a) for a, b in spans
+        min(load_balancer.CAPACITY_FLOOR_SECONDS, b - a) for a, b in spans
     )
     return watched / (now - 10.0), len(used) / count
 
@@ -224,17 +244,17 @@
     """Else a healthy target whose process has no callers stays unused."""
     balancer = new_balancer("a", "b", "c")
     for name in ("a", "b"):
-        balancer.update_load(name, load(risk=0.03), 10.0)
-    asked = load(idle=1.3, risk=health.UNHEALTHY_PRIOR)
+        balancer.update_load(name, load(unhealthy_probability=0.03), 10.0)
+    asked = load(idle=1.3, unhealthy_probability=health.UNHEALTHY_PRIOR)
     balancer.update_load("c", asked, 10.0)
-    may_repeat = requirements(idempotent=True)
-    assert "c" not in selected_targets(balancer, may_repeat)
+    idempotent = requirements(idempotent=True)
+    assert "c" not in selected_targets(balancer, idempotent)
     balancer.record_work_request("c", asked, 10.0)
     assert "c" not in selected_targets(balancer, requirements())
-    selection = balancer.select(may_repeat, frozenset(), 10.0)
+    selection = balancer.select(idempotent, frozenset(), 10.0)
     assert selection.target == "c"
     # It asked for a single request.
-    assert "c" not in selected_targets(balancer, may_repeat)
+    assert "c" not in selected_targets(balancer, idempotent)
 
 
 def test_work_request_of_a_full_or_unknown_target_is_ignored():
@@ -248,7 +268,7 @@
 def test_process_with_few_requests_keeps_its_local_target_in_use():
     """With one request per second, a process rarely sees two failures at once.
 
-    If it waited for them, the target would be idle beyond the window.
+    A process that waited for them would leave its target idle for too long.
     """
     assert min(measure_usage(seed, 0.3)[0] for seed in range(4)) > 0.7
 
@@ -263,7 +283,10 @@
     balancer = new_balancer("a", "b", process="p-b")
     balancer.update_load(
         "b",
-        load(idle=admission.MAX_IDLE_SECONDS, risk=health.UNHEALTHY_PRIOR),
+        load(
+            idle=admission.UNUSED_IDLE_SECONDS,
+            unhealthy_probability=health.UNHEALTHY_PRIOR,
+        ),
         10.0,
     )
     balancer.update_load("a", load(), 10.0)
@@ -276,7 +299,7 @@
 
 def test_retry_also_charges_the_services_that_its_run_may_call():
     """Calls of a retried run are retries at the called service."""
-    balancer = alone_with_reserve(20.0)
+    balancer = balancer_with_reserve(20.0)
     balancer.record_request("called", 0.0)
     spent = sum(balancer.spend_retry("caller", 1.0) for _ in range(10))
     left = sum(balancer.spend_retry("called", 2.0) for _ in range(100))
@@ -286,7 +309,7 @@
 
 def test_retry_charges_no_service_that_its_run_can_not_call():
     """Charging retries of short calls to all services wastes their budgets."""
-    balancer = alone_with_reserve(20.0)
+    balancer = balancer_with_reserve(20.0)
     balancer.shortest_objective_by_service = {"called": 0.4, "caller": 1.5}
     balancer.record_request("caller", 0.0)
     assert (
@@ -332,7 +355,7 @@
 
 
 def test_load_shedding_of_a_target_expires():
-    """Its end is reported only in responses, and nobody would send requests."""
+    """Otherwise no process would send requests, and so notice its end."""
     balancer = new_balancer("a", "b")
     balancer.update_load("a", load(State.SHEDDING), 10.0)
     assert selected_targets(balancer, requirements()) == {"b"}
@@ -348,11 +371,11 @@
     assert selected_targets(balancer, requirements()) == {"b"}
 
 
-def test_cost_of_distance_grows_with_size_and_cost_of_risk_with_loss():
+def test_cross_domain_cost_grows_with_size_and_failure_cost_with_loss():
     """A lost request costs more than traffic between failure domains."""
     balancer = new_balancer("a", "b", domains={"b": "far"})
-    balancer.update_load("a", load(risk=0.3), 10.0)
-    balancer.update_load("b", load(risk=0.05), 10.0)
+    balancer.update_load("a", load(unhealthy_probability=0.3), 10.0)
+    balancer.update_load("b", load(unhealthy_probability=0.05), 10.0)
     assert selected_targets(balancer, requirements(kilobytes=0.5)) == {"b"}
     assert selected_targets(balancer, requirements(kilobytes=12.0)) == {"a"}
     # A retry is cheaper than sending the request to another domain.
--- a/test/test_organisations.py
+++ b/test/test_organisations.py
@@ -329,7 +329,7 @@
         one = fleet.proxies[0]
         back = []
         one.rate_limiter.refund = back.append
-        one.local_targets.by_name["t0"].controller.drain()
+        one.local_targets.by_name["t0"].controller.mark_draining()
         answer = await request_until_admitted(
             fleet, ("x-request-timeout-ms", "200")
         )
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -124,7 +124,7 @@
             return await run(target, ticket, *rest)
 
         serving.run = note
-        fleet.proxies[0].local_targets.by_name["t0"].controller.drain()
+        fleet.proxies[0].local_targets.by_name["t0"].controller.mark_draining()
         assert (await fleet.ask(0)).status == 200
         assert seen[0].start_by < seen[0].deadline
 
--- a/test/test_reachability.py
+++ b/test/test_reachability.py
@@ -3,15 +3,16 @@
 from forklift import reachability
 
 
-def test_process_without_an_expected_reply_is_unreachable_until_heard():
+def test_process_with_an_overdue_reply_is_unreachable_until_it_replies():
     tracker = reachability.Reachability()
     tracker.expect_reply("p", 0.0)
-    assert tracker.take_timed_out(reachability.REPLY_TIMEOUT / 2) == []
-    assert tracker.take_timed_out(reachability.REPLY_TIMEOUT) == ["p"]
+    assert tracker.take_timed_out(reachability.REPLY_TIMEOUT_SECONDS / 2) == []
+    assert tracker.take_timed_out(reachability.REPLY_TIMEOUT_SECONDS) == ["p"]
     assert not tracker.is_reachable("p")
-    assert tracker.take_due_heartbeats(reachability.REPLY_TIMEOUT) == []
+    assert tracker.take_due_heartbeats(reachability.REPLY_TIMEOUT_SECONDS) == []
     assert tracker.take_due_heartbeats(
-        reachability.REPLY_TIMEOUT + reachability.INITIAL_BACKOFF
+        reachability.REPLY_TIMEOUT_SECONDS
+        + reachability.INITIAL_BACKOFF_SECONDS
     ) == ["p"]
     tracker.record_reply("p")
     assert tracker.is_reachable("p")
--- a/test/test_retries.py
+++ b/test/test_retries.py
@@ -35,7 +35,7 @@
     state = new_state()
     assert state.required_health(0.0) is admission.RequiredHealth.PROVEN
     assert (
-        state.required_health(10.0 * retries.RELAX_AFTER_SHARE)
+        state.required_health(10.0 * retries.ACCEPT_EJECTED_AFTER_FRACTION)
         is admission.RequiredHealth.ANY
     )
 
@@ -60,21 +60,21 @@
     distribution = latency.Distribution(0.5)
     assert (
         state.start_by(distribution, math.inf)
-        == 10.0 * retries.START_DEADLINE_SHARE
+        == 10.0 * retries.START_DEADLINE_FRACTION
     )
     state.record_run("t")
     assert state.start_by(distribution, 1.5) > 10.0
 
 
 def test_request_that_misses_its_objective_does_not_queue():
-    """During overload, a slot for a late request delays the next state."""
+    """During overload, a slot for a late request delays the next one."""
     state = new_state()
     distribution = latency.Distribution(0.5)
     helper.train_latency(distribution, 0.5)
     assert state.start_by(distribution, soft_deadline=1.5) == pytest.approx(1.0)
     assert (
         state.start_by(distribution, soft_deadline=0.1)
-        == retries.MIN_QUEUE_TIME
+        == retries.MIN_QUEUE_SECONDS
     )
 
 
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -67,10 +67,10 @@
         before = one.local_targets.by_name[OLD.name]
         now = one.clock.monotonic()
         for number in range(4):
-            before.controller.health.begin(
+            before.controller.health.record_start(
                 number, before.controller.latencies.for_route("r", 1.0), now
             )
-            before.controller.health.end(
+            before.controller.health.record_end(
                 number, target_registry.admission.Signal.BROKEN, now
             )
         assert before.controller.health.ejected
@@ -253,6 +253,6 @@
         "own",
         "d",
         random.Random(1),
-        policy.BUILT_IN.program,
+        policy.BUILT_IN.service_policy,
         load_balancer.RetryBudgetLimits(),
     )
--- a/test/test_silent_connections.py
+++ b/test/test_silent_connections.py
@@ -44,7 +44,7 @@
     ),
     "a request leaves a path that fell silent": (
         # One tick sets the reply deadline, another one detects that it passed.
-        reachability.REPLY_TIMEOUT + 2 * TICK + ONE_WAY_LATENCY,
+        reachability.REPLY_TIMEOUT_SECONDS + 2 * TICK + ONE_WAY_LATENCY,
         0.8,
     ),
     "a silent control connection is opened anew": (
@@ -57,7 +57,7 @@
 def test_peer_may_miss_two_keepalives_before_it_is_unreachable():
     """Peers send keep-alives at ticks, and one may be a tick late."""
     assert (
-        reachability.REPLY_TIMEOUT
+        reachability.REPLY_TIMEOUT_SECONDS
         >= 2 * proxy.KEEPALIVE_INTERVAL + ticker.BUSY_INTERVAL - 1e-9
     )
 
--- a/test/test_ui.py
+++ b/test/test_ui.py
@@ -93,7 +93,7 @@
 
 def test_failing_expression_returns_its_default_and_is_counted():
     text = POLICY + "retry = 10 / attempt > 1\n"
-    service = policy.parse("f", text).program("s")
+    service = policy.parse("f", text).service_policy("s")
     before = policy.expressions.failures_by_expression.total()
     found = service.retry.evaluate(
         attempt=0, status=0, outcome="", reason="", repeatable=True,
@@ -158,7 +158,7 @@
 
     The expressions that document them are evaluated on the same inputs.
     """
-    program = policy.BUILT_IN.program("s")
+    program = policy.BUILT_IN.service_policy("s")
     failure = policy.expressions.Expression(
         program.failure.text, {"status": 1}, True
     )
@@ -182,8 +182,8 @@
 def test_policy_applies_to_named_services_and_the_default_to_others():
     text = POLICY + "[service default]\nspread = round-robin\n"
     read = policy.parse("f", text)
-    assert read.program("s").spread == "least-loaded"
-    assert read.program("other").spread == "round-robin"
+    assert read.service_policy("s").spread == "least-loaded"
+    assert read.service_policy("other").spread == "round-robin"
 
 
 def test_serving_does_not_import_cel_or_opentelemetry():
