--- a/forklift/shell/local_targets.py
+++ b/forklift/shell/local_targets.py
@@ -358,8 +358,8 @@
     def handle_crash(self, local_target: LocalTarget) -> None:
         """Handles that a target exited.
 
-        Unless it announced that it is leaving, this is a crash, and its
-        requests are recorded as suspected.
+        Unless it announced that it is leaving, or ran nothing, this is a crash,
+        which is recorded as evidence against the requests that it ran.
         """
         now = self._clock.monotonic()
         running = local_target.candidates.take_fingerprints(now)
