--- a/forklift/allocator.py
+++ b/forklift/allocator.py
@@ -1,9 +1,9 @@
 """Allocates the rate limits of a shard of organisations to the processes.
 
-Each process delegates its share of the limits, one part in N, to the one
-process that it sees as allocator of the shard. An allocator grants no more than
-the shares delegated to it. So the sum over all processes stays within the
-limits when several processes act as allocator, and when processes are
+Each of N processes delegates its share of the limits, 1/N, to the process that
+it has selected as allocator of the shard. An allocator grants no more than the
+shares delegated to it. The sum over all processes therefore stays within the
+limits even if several processes act as allocator, or if processes are
 partitioned, paused or restarted. Leases expire before the delegations that
 cover them.
 """
@@ -18,27 +18,26 @@
 from forklift import organisations
 from forklift import rate_limits
 
-# Seconds between two delegations of a process, and for which one is valid. A
-# few lost messages in a row don't let it expire.
+# Seconds between two delegations of a process.
 DELEGATION_PERIOD_SECONDS = 1.0
+# Seconds for which a delegation is valid.
 DELEGATION_SECONDS = 5.0
-# Seconds for which a lease is valid. It survives the loss of two delegations in
-# a row, and expires before the delegations that cover it.
+# Seconds for which a lease is valid; shorter than DELEGATION_SECONDS, so that
+# the lease expires before the delegations that cover it.
 LEASE_SECONDS = 2.5
-# Fraction of the delegated capacity that is leased. The rest is granted as
-# single tokens, as a lease at a process without requests is of no use.
+# Fraction of the delegated capacity that may be leased. The rest is granted as
+# single tokens to processes whose leases are used up.
 LEASABLE_FRACTION = 0.5
-# Longest retry_after of a token grant, seconds.
+# Upper bound for the retry_after of a token grant.
 MAX_RETRY_AFTER_SECONDS = 10.0
-# After a rise of the capacity by more than this fraction of a limit, new token
-# pools hold tokens only for the time since: another allocator may have spent
-# the earlier ones.
+# Increase of the capacity, as a fraction of a limit, after which new token
+# pools are filled only with the tokens since that increase. Another allocator
+# may have granted the earlier tokens.
 NOTABLE_CAPACITY_RISE = 0.1
-# Seconds after which an unused token pool is deleted; it would be full again by
-# then.
+# Seconds after which an unused token pool is deleted.
 POOL_RETENTION_SECONDS = 60.0
-# Upper bound for the duration of a handover, seconds. Delegations that are
-# handed over expire earlier by this much.
+# Upper bound for the duration of a handover. Delegations that are handed over
+# expire this much earlier.
 HANDOVER_SECONDS = 0.25
 
 FindOrganisation = Callable[[str], organisations.Organisation | None]
@@ -49,9 +48,9 @@
     """An allocation whose leases may be in use.
 
     Attributes:
-        sequence: Its sequence number; 0 if an earlier allocator issued it.
-        sent_at: Monotonic seconds when it was sent.
-        expires_at: Monotonic seconds after which its leases are invalid.
+        sequence: Sequence number; 0 if an earlier allocator issued it.
+        sent_at: Time of sending, monotonic seconds.
+        expires_at: Time at which the leases expire, monotonic seconds.
         share_by_organisation: Leased fraction of each limit.
     """
 
@@ -63,14 +62,15 @@
 
 @dataclasses.dataclass
 class _Delegator:
-    """What the allocator knows of a process that delegates its share."""
+    """State of a process that delegates its share to the allocator."""
 
     process: messages.ProcessRun
     share: float = 0.0
-    # The share counts between these times, monotonic seconds.
+    # Period in which the allocator may grant the share, monotonic seconds.
     counts_from: float = math.inf
     expires_at: float = -math.inf
-    # Whether only earlier runs of this process may still count the share.
+    # Whether no allocator but earlier runs of this one may still grant the
+    # share.
     only_earlier_own_runs: bool = False
     last_sequence: int = 0
     heard_at: float = -math.inf
@@ -83,7 +83,7 @@
     )
 
     def leased_share(self, organisation: str, now: float) -> float:
-        """Largest share of a limit for which it may hold a valid lease."""
+        """Largest share of a limit that valid leases of the process cover."""
         return max(
             (
                 one.share_by_organisation.get(organisation, 0.0)
@@ -94,7 +94,10 @@
         )
 
     def acknowledge(self, sequence: int) -> _IssuedAllocation | None:
-        """Drops allocations that precede the one which it echoes.
+        """Drops allocations older than the one that the process echoed.
+
+        Args:
+            sequence: Sequence number of the echoed allocation.
 
         Returns:
             The echoed allocation; None if it is not known.
@@ -119,7 +122,7 @@
     ) -> rate_limits.TokenBucket:
         """Adds tokens for the time since the last call.
 
-        The free share may have changed in between; the smaller value counts.
+        Tokens accrue at the smaller of the current and the previous free share.
 
         Args:
             now: Monotonic seconds.
@@ -149,7 +152,7 @@
         expected: Callable[[float], Iterable[str]],
         now: float,
     ):
-        """Makes an allocator without delegations.
+        """Creates an allocator without delegations.
 
         Args:
             own: This process.
@@ -168,11 +171,11 @@
         self._delegator_by_name: dict[str, _Delegator] = {}
         self._names_by_organisation: dict[str, set[str]] = {}
         self._pool_by_organisation: dict[str, _TokenPool] = {}
-        # Runs of allocators that handed over to this one, and the monotonic
-        # seconds after which their leases have expired.
+        # Time at which all leases of each run that handed over to this
+        # allocator have expired, by boot; monotonic seconds.
         self._superseded: dict[int, float] = {}
-        # Time since which the capacity has not risen notably, and the lowest
-        # capacity since then.
+        # Time of the last notable increase of the capacity in monotonic
+        # seconds, and the lowest capacity since then.
         self._stable_since = now
         self._stable_capacity = 0.0
 
@@ -212,7 +215,7 @@
     def receive_delegation(
         self, delegation: messages.Delegation, now: float
     ) -> messages.Allocation | None:
-        """Answers a delegation; returns None if it arrived out of order."""
+        """Answers a delegation; returns None if it arrives out of order."""
         known = self._delegator_by_name.get(delegation.sender.name)
         if known is None or known.process.boot != delegation.sender.boot:
             # Leases of an earlier run of the process ended with that run.
@@ -342,7 +345,7 @@
         return max(1.0 / depth, rate / limit.rate)
 
     def _total_leased(self, organisation: str, now: float) -> float:
-        """Largest share of a limit that all leases may cover together."""
+        """Upper bound for the sum of all valid leases of a limit, 0 to 1."""
         return sum(
             self._delegator_by_name[name].leased_share(organisation, now)
             for name in self._names_by_organisation.get(organisation, ())
@@ -429,7 +432,7 @@
         )
 
     def accept_handover(self, handover: messages.Handover, now: float) -> None:
-        """Takes over the delegations of an allocator that stopped."""
+        """Takes over the delegations of an allocator that stops allocating."""
         for boot in handover.supersedes:
             self._superseded[boot] = now + DELEGATION_SECONDS
         for held in handover.delegations:
--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """Requests of one host and path prefix, and how they are served.
+    """Rule for the requests of one host and path prefix.
 
     Attributes:
         name: Name of the route.
@@ -42,7 +42,7 @@
         prefix: Path prefix, which starts and ends with a slash.
         weighted_services: Services that serve the route.
         idempotent: Whether a request may safely be executed more than once.
-        timeout: Longest time that a request may take, in seconds.
+        timeout: Request timeout in seconds, including retries.
         objective: Latency objective in seconds.
         priority: Priority; 0 is the most urgent.
         max_attempts: Maximum number of targets that a request is sent to.
@@ -109,12 +109,13 @@
     """One version of the configuration.
 
     Attributes:
-        version: Version number; later versions have higher numbers, with gaps.
+        version: Version number; increases, possibly with gaps.
         routes: Routes by host and path.
         services_by_name: The services.
         limits: Limits for callers.
-        source: The record that it was decoded from.
-        callers: Organisations that may call, or None if no key is required.
+        source: Record from which the catalog was decoded.
+        callers: Organisations whose requests are accepted; None if no key is
+            required.
         with_key_digests: Replaces the keys in a record with their digests, so
             that the record can be sent to peers.
     """
@@ -158,7 +159,12 @@
 
 
 class ActiveCatalog:
-    """The catalog that this process uses."""
+    """Holder of the catalog that this process uses.
+
+    Attributes:
+        catalog: The active catalog.
+        since: Time of its activation, monotonic seconds.
+    """
 
     def __init__(self):
         self.catalog = EMPTY
@@ -174,7 +180,7 @@
 
         Args:
             catalog: The catalog.
-            source: Where it came from, such as the store; for the log.
+            source: Origin of the catalog for the log, such as "store".
             now: Monotonic seconds.
 
         Returns:
--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -1,15 +1,16 @@
 """Peer-to-peer dissemination of configuration versions.
 
-The store notifies most processes within milliseconds, but a read that never
-returns looks like one that still waits. Each process therefore also learns of
-new versions from peers. All processes form a ring; a process reports each
-version that it loads to its predecessors and announces it to its successors
-until they confirm it. One that learns of a newer version fetches it.
-
-This depends neither on heartbeats nor on existing connections: messages without
-a reply are sent again over new connections in both directions. As each process
+The store notifies its readers within milliseconds, but a long poll over a
+broken connection looks like one without news. Each process therefore also
+learns of new versions from peers. All processes form a ring. A process reports
+each version that it loads to its predecessors, and announces the version to its
+successors until they confirm it. A process that learns of a newer version
+fetches it.
+
+This depends neither on heartbeats nor on existing connections: unanswered
+messages are sent again over new connections in both directions. As each process
 is the nearest successor of another, a version reaches every process once one
-has it; the more distant successors shorten the path.
+process has it. The more distant successors shorten the path.
 """
 
 import collections
@@ -24,17 +25,15 @@
 from forklift import rendezvous
 from forklift import store_readers
 
-# Ring positions between a process and the peers that announce versions to it.
-# With several peers it is unlikely that none of them has a version.
+# Distances on the ring from a process to the peers that announce new versions
+# to it.
 RING_DISTANCES = (1, 2, 4, 8)
-# Seconds that the store has to deliver a version before peers step in. Much
-# longer than the store takes, and well within the bound for all processes.
+# Seconds that the store has to deliver a version before peers deliver it.
 PEER_FALLBACK_DELAY = 0.25
-# Initial and longest seconds between retries. The delay stays constant for a
-# few retries, which covers lost messages, and then doubles. The limit keeps a
-# process from lagging for long after its connections recover.
+# Bounds of the delay between retries, in seconds.
 INITIAL_RETRY_DELAY = 0.25
 MAX_RETRY_DELAY = 2.0
+# Number of retries before the delay starts to double.
 RETRIES_BEFORE_BACKOFF = 3
 # Number of recent versions whose activation times are kept.
 VERSION_HISTORY = 64
@@ -65,8 +64,8 @@
     """The version that a process last reported.
 
     Attributes:
-        boot: Identity of the run of the process.
-        version: Its active version.
+        boot: Random ID of the run of the process.
+        version: Active version of the process.
     """
 
     boot: int
@@ -78,10 +77,10 @@
     """A peer that has a newer version than this process.
 
     Attributes:
-        address: Its control address.
-        version: The version.
-        active_since: When the version became active there, in monotonic seconds
-            of this process.
+        address: Control address of the peer.
+        version: Active version of the peer.
+        active_since: Time since which the peer has had a newer version,
+            monotonic seconds of this process.
         is_retry: Whether the peer sent an earlier message that got no reply, so
             that the connection to it may be broken.
     """
@@ -127,7 +126,7 @@
         return sends + self._request_newer(now)
 
     def is_active(self, now: float) -> bool:
-        """Whether versions are being exchanged, or were until recently."""
+        """Whether versions are being exchanged or were exchanged recently."""
         if self._newer_peer_by_name or self._retries_by_name:
             return True
         if self._last_reported != self._active_version:
@@ -140,7 +139,7 @@
     def observe(
         self, info: messages.ProcessInfo, now: float
     ) -> list[gossip.Send]:
-        """Handles the description in a heartbeat or a join."""
+        """Handles the description that a process sent of itself."""
         self._record_report(info.name, _VersionReport(info.boot, info.config))
         if info.config > self._active_version:
             peer = _NewerPeer(info.control, info.config, now)
@@ -182,7 +181,7 @@
         return []
 
     def record_offer(self, offer: messages.CatalogOffer, now: float) -> None:
-        """Records who offered a version, before the version is loaded."""
+        """Records the peer that offered a version, before it is loaded."""
         peer = _NewerPeer(offer.sender.control, offer.version, now - offer.age)
         self._record_newer_peer(offer.sender.name, peer)
 
@@ -263,13 +262,13 @@
         """Records a peer that has a newer version."""
         known = self._newer_peer_by_name.get(name)
         if known is not None:
-            # Keeps the time since when it has had any newer version.
+            # Keeps the time since which the peer has had any newer version.
             active_since = min(peer.active_since, known.active_since)
             peer = dataclasses.replace(peer, active_since=active_since)
         self._newer_peer_by_name[name] = peer
 
     def _request_newer(self, now: float) -> list[gossip.Send]:
-        """Requests the version from one of its holders, in rotation."""
+        """Requests a newer version from one of the peers, in rotation."""
         if not self._newer_peer_by_name or not self._request_retries.due(now):
             return []
         since = min(
@@ -295,7 +294,7 @@
         """Records the version that a process reported.
 
         Reports of earlier runs are ignored. A new run may have an older version
-        than the one before.
+        than the previous run.
         """
         member = self._directory.member_by_name.get(name)
         if member is None or member.info.boot != reported.boot:
@@ -316,8 +315,8 @@
     ) -> bool:
         """Whether a process with a version should have received a newer one.
 
-        The time counts from the first newer version. If versions follow each
-        other quickly, the latest one is always recent.
+        The delay counts from the first newer version, so that it also ends if
+        versions are published in quick succession.
 
         Args:
             version: The version that the process has.
@@ -332,7 +331,7 @@
     def _allowed_store_delay(self, name: str) -> float:
         """Seconds that the store has to deliver a version to a process.
 
-        The store notifies readers only; others depend on peers at once.
+        It is 0 for processes that don't read from the store.
         """
         return PEER_FALLBACK_DELAY if self._readers.includes(name) else 0.0
 
@@ -350,7 +349,11 @@
         return self._at_distances(1)
 
     def _at_distances(self, direction: int) -> list[str]:
-        """Processes at the ring distances; direction 1 is after, -1 before."""
+        """Processes at the ring distances, by direction.
+
+        Args:
+            direction: 1 for successors, -1 for predecessors.
+        """
         if self._ring_version != self._directory.membership_version:
             self._ring_version = self._directory.membership_version
             self._ring = self._ring_order()
@@ -371,11 +374,11 @@
                 del by_name[name]
 
     def _ring_order(self) -> list[str]:
-        """The order of processes on the ring.
+        """Order of the processes on the ring.
 
-        Hashing spreads a failure domain over the ring, as its processes may
-        lose the store together. Only processes that all track each other are on
-        one ring.
+        Hashing spreads the processes of a failure domain over the ring, as they
+        may lose the connection to the store together. The ring consists of
+        processes that exchange membership updates.
         """
         names = [
             name
--- a/forklift/errors.py
+++ b/forklift/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions. Each message says what to do about the error."""
+"""Exceptions; each message says how to fix the error."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Problem:
-    """Invalid entry in a settings or policy file.
+    """An error in a settings or policy file.
 
     Attributes:
         file: Path or name of the file.
@@ -90,7 +90,7 @@
 
     Attributes:
         status: HTTP status of the response.
-        remedy: What the caller should change.
+        remedy: How the caller can fix the request.
     """
 
     def __init__(self, message: str, remedy: str, status: int = 400):
--- a/forklift/fingerprint.py
+++ b/forklift/fingerprint.py
@@ -1,13 +1,12 @@
-"""Fingerprints of requests, to recognize a request that is sent again.
+"""Fingerprints that recognize a request which is sent again.
 
-A repeated request has another id and may arrive at any process. Its method,
+A retry has another request ID and may arrive at any process, but its method,
 host, path, caller and body are the same.
 """
 
 import hashlib
 
-# Size of a fingerprint, bytes: large enough that no caller can find a collision
-# and have another caller's request taken for its own.
+# Size of a fingerprint in bytes; prevents collisions that a caller crafts.
 DIGEST_SIZE = 16
 
 
--- a/forklift/gossip.py
+++ b/forklift/gossip.py
@@ -1,9 +1,9 @@
 """SWIM gossip: failure detection, rumors and anti-entropy sync.
 
-Updates spread as rumors (Das, Gupta and Motivala, "SWIM", 2002). A process that
-is suspected anywhere learns of it and refutes it with a higher incarnation, so
-a one-way partition between two processes takes neither out of service. Each
-process talks to a bounded set of peers.
+Updates spread as rumors (Das, Gupta and Motivala, "SWIM", 2002). A suspected
+process learns of the suspicion and refutes it with a higher incarnation, so a
+one-way partition between two processes takes neither out of service. Each
+process gossips with a bounded set of peers.
 """
 
 import collections
@@ -20,25 +20,26 @@
 Digest = Callable[[], int]
 Liveness = messages.Liveness
 
+# All periods and timeouts are in seconds.
 MAX_PEERS = 48
 PING_PERIOD = 1.0
 PONG_TIMEOUT = 1.0
 MISSES_BEFORE_SUSPECT = 2
 EXPIRY_PERIOD = 0.5
-# Seconds between pings to dead members. Peers that remember the address of a
-# process find it this way if it restarts while the store is unavailable.
+# Seconds between pings to dead members. These pings find a process that
+# restarts at the same address while the store is unavailable.
 DEAD_PING_PERIOD = 1.0
-# Keeps a ping within one datagram. Further rumors wait for the next ping.
+# Keeps a ping within one datagram; further rumors are sent with the next ping.
 MAX_RUMORS_PER_PING = 24
-# Seconds between rounds of gossip; updates that arrive in between are batched.
+# Minimum time between rounds of gossip; updates in between are batched.
 GOSSIP_PERIOD = 0.15
-# Peers that receive the rumors of one round of gossip.
+# Number of peers that receive the rumors of one round of gossip.
 FAN_OUT = 3
-# A rumor is sent this many times log2 of the number of members.
+# Number of transmissions of a rumor, as a multiple of log2 of the fleet size.
 RETRANSMIT_FACTOR = 1
 SYNC_PERIOD = 5.0
-# Seconds without new rumors after which differing digests call for a sync.
-# Until then rumors may still be spreading.
+# Seconds without gossip after which differing digests trigger a sync. Before,
+# rumors may still be spreading.
 SYNC_SETTLE_TIME = 2.0
 MAX_RUMORS_PER_SYNC = 100
 
@@ -50,9 +51,8 @@
     Attributes:
         address: Control address of the receiver.
         message: The message.
-        new_connection: Whether to open a new connection, because a message on
-            the old one was not answered. A broken connection can accept data
-            for minutes.
+        new_connection: Whether to open a new connection, as the old one may be
+            broken: an earlier message on it was not answered.
     """
 
     address: str
@@ -61,7 +61,7 @@
 
 
 class Gossip:
-    """Decides which messages to send to which peers."""
+    """Decides which gossip messages to send to which peers."""
 
     def __init__(
         self,
@@ -298,7 +298,12 @@
         return Send(address, ping, is_retry)
 
     def _rumors(self, about: str = "") -> tuple[messages.Rumor, ...]:
-        """Takes queued rumors, and how this process sees the receiver."""
+        """Takes queued rumors for a message.
+
+        Args:
+            about: Name of the receiver. If it is not considered alive, a rumor
+                about it is included, so that it can refute it.
+        """
         rumors = []
         member = self.directory.member_by_name.get(about)
         if member is not None and member.liveness is not Liveness.ALIVE:
@@ -334,9 +339,11 @@
         return [Send(message.sender.control, self._sync_request())]
 
     def _sync_replies(self, wanted: frozenset[str]) -> list[messages.SyncReply]:
-        """Sync replies with members that share a wanted service.
+        """Returns sync replies with the usable members of given services.
 
-        All members are included if no service is given.
+        Args:
+            wanted: Names of the services; all members are included if it is
+                empty.
         """
         own = self.directory.own
         rumors = [
--- a/forklift/header_fields.py
+++ b/forklift/header_fields.py
@@ -1,7 +1,7 @@
 """Names of the header fields exchanged with callers and targets.
 
-A deployment with other names passes its own, so that no other module depends on
-them.
+Other modules use the attributes of `HeaderNames`, so that a deployment can use
+names of its own.
 """
 
 import dataclasses
@@ -13,18 +13,17 @@
     """Names of header fields, in lower case.
 
     Attributes:
-        request_id: Identity of a request; targets echo it.
-        deadline: Time in milliseconds that the sender will wait.
-        origin: Service on the instance where the request started.
-        expected: Name of the target that may run the request.
-        not_run: Present on a refusal by a target that proves that the request
-            did not run.
+        request_id: ID of a request; targets echo it.
+        deadline: Milliseconds for which the sender waits for the response.
+        origin: Service on the instance where the request originated.
+        expected: Name of the only target that may run the request.
+        not_run: Present on a rejection by a target if the request did not run.
         signature: Present on every response that a target itself produced.
         target: Name of the target, in responses to health checks.
         load: Running requests, waiting requests and slots of a target, joined
             by commas.
-        key: Key of the calling organisation; never forwarded by the process
-            that received the request.
+        key: Key of the calling organisation; removed before a request is
+            forwarded.
         organisation: Name of the organisation, as passed to the target.
         credentials: Fields that distinguish one caller from another.
     """
@@ -47,7 +46,7 @@
 
     @functools.cached_property
     def reserved(self) -> frozenset[bytes]:
-        """Request fields that are dropped if the sender sets them."""
+        """Request fields that are removed if the sender has set them."""
         return frozenset(
             (
                 self.deadline,
--- a/forklift/heartbeats.py
+++ b/forklift/heartbeats.py
@@ -1,15 +1,14 @@
-"""Heartbeats of local targets, and which of them are stale.
+"""Heartbeats of local targets, and detection of stale ones.
 
-A target may restart under the name that it had before. Each run is a separate
-incarnation, and state that is kept about one does not apply to the next. All
-such state is therefore keyed by the name of the incarnation.
+A target may restart under the same name. Each run is a separate incarnation,
+and the state of one incarnation does not apply to the next. All such state is
+therefore keyed by the name of the incarnation.
 """
 
 import dataclasses
 import enum
 
-# Number of recent incarnations to remember. Far fewer than that start on an
-# instance during the time that a heartbeat can be delayed.
+# Maximum number of targets, and of ended incarnations, that are remembered.
 MAX_REMEMBERED = 1024
 _SEPARATOR = "@"
 
@@ -21,7 +20,7 @@
     Attributes:
         target: The name that the target gives itself.
         started_ms: Start time in Unix milliseconds. It is 0 if the target does
-            not report it; such a target does not reuse its name.
+            not report the time; such a target does not reuse its name.
     """
 
     target: str
@@ -68,9 +67,9 @@
         domain: Failure domain.
         slots: Maximum number of concurrent requests.
         leaving: Whether the target accepts no new requests.
-        sequence: Rises with each heartbeat of an incarnation, so that reordered
-            ones are recognized.
-        cold: Seconds after its start during which the target is slow.
+        sequence: Increases with each heartbeat of an incarnation, so that
+            reordered heartbeats are recognized.
+        cold: Remaining warm-up time of the target, seconds.
     """
 
     incarnation: TargetIncarnation
@@ -86,11 +85,11 @@
 class HeartbeatKind(enum.Enum):
     """How a heartbeat relates to those received before."""
 
-    # The first one of an incarnation, which replaces any earlier one.
+    # First heartbeat of an incarnation, which replaces any earlier incarnation.
     FIRST = "first"
-    # A newer one of the current incarnation.
+    # A newer heartbeat of the current incarnation.
     FURTHER = "further"
-    # From an incarnation that has ended, or older than the last one.
+    # A heartbeat of an incarnation that has ended, or one out of order.
     LATE = "late"
 
 
@@ -100,11 +99,11 @@
 
     Attributes:
         incarnation: The incarnation.
-        first: Monotonic seconds when it was first seen.
-        last: Monotonic seconds when it was last seen.
+        first: Time when it was first seen, monotonic seconds.
+        last: Time when it was last seen, monotonic seconds.
         sequence: Sequence number of its last heartbeat.
         start_unknown: Whether it is known only from a health check or a leave
-            message, neither of which tells the start time.
+            message without a start time.
         has_left: Whether it has announced that it leaves.
     """
 
@@ -119,12 +118,12 @@
 class IncarnationTracker:
     """Tracks the current incarnation of each local target.
 
-    An incarnation with a later start time replaces the current one. One with an
-    earlier start time is ignored while the current one sends heartbeats, and
-    while a delayed heartbeat of an earlier incarnation can still arrive. After
-    that it is accepted: the clock of the target was set back, or the current
-    incarnation never existed. An incarnation that announced that it leaves is
-    never accepted again.
+    An incarnation with a later start time replaces the current incarnation. An
+    incarnation with an earlier start time is ignored while the current one
+    sends heartbeats, and while delayed heartbeats of earlier incarnations may
+    still arrive. Afterwards it is accepted, as the clock of the target may have
+    been set back. An incarnation that announced that it leaves is not accepted
+    again.
     """
 
     def __init__(self, max_delay: float):
@@ -173,8 +172,8 @@
         if current is None:
             return self._begin(incarnation, sequence, now)
         if current.start_unknown and current.has_left:
-            # This may be the incarnation that announced its end; it keeps
-            # sending heartbeats until then.
+            # The heartbeat may come from the incarnation that announced that it
+            # leaves, which sends heartbeats until it ends.
             silent = now - current.last > self.max_delay
             current.last = now
             return (
@@ -199,7 +198,7 @@
     def record_health_check(self, target: str, now: float) -> bool:
         """Records that the health endpoint of a target answered.
 
-        The response does not tell the incarnation, so it is ignored if any
+        The response does not identify the incarnation, so it is ignored if any
         incarnation of the target is known or has left.
 
         Returns:
@@ -222,12 +221,13 @@
         """Records that a target announced that it leaves.
 
         Args:
-            incarnation: The incarnation; without a start time it means the
-                current one.
+            incarnation: The incarnation that leaves. If it has no start time,
+                the current incarnation of the target is meant.
             now: Monotonic seconds.
 
         Returns:
-            Name of the incarnation that ended, or None if it is not current.
+            Name of the incarnation that was ended; None if the given one is not
+            the current incarnation.
         """
         current = self._current_by_target.get(incarnation.target)
         if current is None and not incarnation.started_ms:
@@ -244,17 +244,18 @@
         """Records that a peer remembers an incarnation as leaving.
 
         Args:
-            incarnation: The incarnation.
+            incarnation: The incarnation that leaves.
             now: Monotonic seconds.
 
         Returns:
-            Name of the incarnation that ended, or None if it is not current.
+            Name of the incarnation that was ended; None if the given one is not
+            the current incarnation.
         """
         self._record_end(incarnation)
         current = self._current_by_target.get(incarnation.target)
         if current is not None and current.start_unknown:
-            # The current one may be that incarnation. If not, its heartbeat
-            # will have a later start time.
+            # The current incarnation may be the one that leaves. Otherwise its
+            # next heartbeat has a later start time.
             name = current.incarnation.name
             current.incarnation, current.start_unknown = (
                 incarnation,
@@ -278,7 +279,7 @@
         return HeartbeatKind.FIRST
 
     def _silent(self, current: _CurrentIncarnation, now: float) -> bool:
-        """Whether the current one is silent and no delayed heartbeat is due."""
+        """Whether no heartbeat of this or an earlier run is expected."""
         return (
             now - current.last > self.max_delay
             and now - current.first > self.max_delay
--- a/forklift/ini.py
+++ b/forklift/ini.py
@@ -1,7 +1,7 @@
 """Parses INI sections into frozen dataclasses and reports every problem.
 
 Each field that is declared with `key()` is read from the key of the same name.
-`key()` takes the parser with its bounds, and the description that is printed in
+`key()` takes the parser of the value and the description that is printed in
 docs/SETTINGS.md.
 """
 
@@ -23,7 +23,7 @@
     """Parser and description of an INI key.
 
     Attributes:
-        parse: Converts text to the value. Raises ValueError with the remedy.
+        parse: Converts text to the value; raises ValueError with the remedy.
         doc: One-line description, with the unit.
     """
 
@@ -208,7 +208,7 @@
         """Raises an error if any problem was found.
 
         Raises:
-            errors.FileProblems: With all problems.
+            errors.FileProblems: At least one problem was found.
         """
         if self.problems:
             raise errors.FileProblems(tuple(self.problems))
--- a/forklift/interfaces.py
+++ b/forklift/interfaces.py
@@ -24,8 +24,8 @@
     """Store of the configuration and of the processes that can be joined.
 
     Attributes:
-        on_lost: Called when the store has lost acknowledged writes, which the
-            receiver must then repeat.
+        on_lost: Called when the store has lost acknowledged writes, which must
+            then be repeated.
     """
 
     on_lost: Callable[[], None]
@@ -40,7 +40,7 @@
     async def next_configuration(
         self, position: int, wait: float
     ) -> ConfigurationRead:
-        """Waits for a configuration that is newer than a position.
+        """Waits for a configuration that was written after a position.
 
         Args:
             position: Position from an earlier read.
@@ -53,7 +53,7 @@
         """
 
     async def members(self) -> dict[str, bytes]:
-        """Returns the announced records by name.
+        """Returns the records written by `announce`, by name.
 
         Raises:
             errors.RegistryUnavailable: The store did not answer.
@@ -62,7 +62,7 @@
     async def announce(self, name: str, data: bytes) -> None:
         """Writes a record, replacing any earlier one with the same name.
 
-        Besides processes, this stores other records that all processes read.
+        Records describe processes, or hold other data that all processes read.
         Empty data deletes the record.
 
         Raises:
@@ -75,7 +75,8 @@
 
         Args:
             data: Configuration record.
-            position: Position at which the topic must still end.
+            position: Position from the read on which the new record is based.
+                Nothing is written if a record was added since.
 
         Returns:
             Whether the configuration was written.
@@ -93,7 +94,7 @@
         """Returns monotonic seconds, comparable only within one process."""
 
     def wall(self) -> float:
-        """Returns seconds since the epoch; clocks of processes may differ."""
+        """Returns seconds since the Unix epoch; not exact between processes."""
 
 
 class Transport(Protocol):
@@ -105,10 +106,13 @@
         message: messages.Control,
         new_connection: bool = False,
     ) -> bool:
-        """Hands a message to the network; False when it was dropped.
+        """Sends a message without waiting for its delivery.
 
         Args:
             address: Control address of the receiver.
             message: The message.
-            new_connection: Whether it goes over a new connection.
+            new_connection: Whether to open a new connection for the message.
+
+        Returns:
+            Whether the message was sent; False if it was dropped.
         """
--- a/forklift/limit_messages.py
+++ b/forklift/limit_messages.py
@@ -4,7 +4,7 @@
 
 
 class _Wire(msgspec.Struct, frozen=True, array_like=True):
-    """Base class of these messages and of their parts."""
+    """Base class of the messages and of their parts."""
 
 
 class ProcessRun(_Wire):
@@ -13,7 +13,7 @@
     Attributes:
         name: Name of the process.
         control: Address of its control listener, "ip:port".
-        boot: Identifies the run.
+        boot: Random ID of the run.
     """
 
     name: str
@@ -22,11 +22,11 @@
 
 
 class Demand(_Wire):
-    """What a process needs of the limit of one organisation.
+    """Demand of a process for the limit of one organisation.
 
     Attributes:
         organisation: Name of the organisation.
-        rate: Recent arrivals at this process, requests per second.
+        rate: Recent arrival rate at the process, requests per second.
         tokens_wanted: Number of requests that wait for a token now.
     """
 
@@ -77,9 +77,9 @@
             the echoed allocation was sent.
         share: The sender's share, 0 to 1; 0 if it does not know the size of
             the fleet.
-        previous_allocators: Allocators that may still count the share, as name
-            and boot.
-        exclusive_in: Seconds until none of these counts it any more.
+        previous_allocators: Name and boot of the other allocators that may
+            still grant the share.
+        exclusive_in: Seconds until none of these may grant the share.
         demands: Demand for each organisation with recent or waiting requests.
     """
 
@@ -103,12 +103,12 @@
         shard: Number of the shard.
         sequence: Increases with each allocation to this receiver.
         echo: Sequence number of the delegation that this answers.
-        valid_for: Seconds for which the leases hold, counted from when that
-            delegation was sent.
-        leases: All leases of the receiver; they replace earlier ones from this
-            allocator.
+        valid_for: Seconds for which the leases are valid, counted from when
+            that delegation was sent.
+        leases: All leases of the receiver; they replace the earlier leases
+            from this allocator.
         token_grants: Answers to the receiver's requests for tokens.
-        supersedes: Runs of allocators whose leases these replace.
+        supersedes: Boots of earlier allocators whose leases become invalid.
     """
 
     sender: ProcessRun
@@ -126,7 +126,8 @@
 
     Attributes:
         delegator: The process that delegated its share.
-        share: The share that counts; 0 if it does not count yet.
+        share: Share that the receiver may grant; 0 if another allocator may
+            still grant it.
         expires_in: Seconds until the delegation expires.
         leases: Leases that the delegator may still use.
         leases_valid_for: Seconds until the last of these leases expires.
@@ -146,7 +147,7 @@
         sender: The allocator that gives up the shard.
         to_boot: Run of the receiver for which the message is meant.
         shard: Number of the shard.
-        supersedes: Runs of allocators whose leases may still be in use,
+        supersedes: Boots of allocators whose leases may still be in use,
             including the sender.
         delegations: All delegations that the sender holds.
     """
--- a/forklift/limiter.py
+++ b/forklift/limiter.py
@@ -17,10 +17,8 @@
 from forklift import rendezvous
 
 # Seconds without an answer after which this process selects another allocator.
-# The loss of two delegations in a row does not exceed it; failure detection by
-# gossip takes longer.
 ALLOCATOR_TIMEOUT = 2.2 * allocators.DELEGATION_PERIOD_SECONDS
-# Seconds between two selections of the allocators.
+# Seconds between two selections of allocators.
 ASSIGNMENT_PERIOD = 0.25
 
 
@@ -42,7 +40,7 @@
 
 
 class Limiter:
-    """Takes part in the enforcement of limits, for one process.
+    """Enforces the limits at one process and allocates shards of them.
 
     Attributes:
         quota: Admits requests of this process within its leases.
@@ -57,7 +55,7 @@
         fleet_size_known: Callable[[], bool],
         on_tokens: Callable[[limit_messages.TokenGrant], None],
     ):
-        """Makes a limiter without leases.
+        """Creates a limiter without leases.
 
         Args:
             directory: The members of the fleet.
@@ -82,7 +80,7 @@
             self._has_ended,
         )
         self._allocator_by_shard: dict[int, allocators.Allocator] = {}
-        # Allocators that did not answer and sent nothing since.
+        # Allocators that did not answer in time and have sent no message since.
         self._unresponsive: set[str] = set()
         self._allocator_names: list[str] = [directory.own.name]
         self._next_assignment = 0.0
@@ -147,13 +145,13 @@
         return limit_messages.ProcessRun(own.name, own.control, own.boot)
 
     def _own_share(self) -> float:
-        """Share of this process: equal for all that may be running."""
+        """Share of this process; equal for all processes that may run."""
         if not self._fleet_size_known():
             return 0.0
         return 1.0 / (1 + sum(1 for _ in self._possible_members()))
 
     def _has_ended(self, name: str, boot: int) -> bool:
-        """Whether a run of a process has ended: it left or was restarted."""
+        """Whether a run of a process is known to have left or restarted."""
         if name == self._directory.own.name:
             return boot != self._directory.own.boot
         member = self._directory.member_by_name.get(name)
@@ -185,8 +183,8 @@
             self._on_tokens(one)
         if self.quota.delegation_confirmed(given.shard):
             return []
-        # Delegates again at once: only a delegation that echoes an allocation
-        # counts.
+        # Delegates again at once, as the allocator may grant the share only
+        # after a delegation that echoes an allocation.
         name = self._allocator_of_shard(given.shard)
         if name != given.sender.name:
             return []
@@ -233,7 +231,7 @@
         allocator.tick(now)
         member = self._directory.member_by_name.get(name)
         if member is None or not self.quota.has_answered(shard, name):
-            # The delegations would be lost with a process that has failed.
+            # The process may have failed; the delegations would be lost.
             return []
         del self._allocator_by_shard[shard]
         given = allocator.hand_over(member.info.boot, now)
@@ -252,7 +250,7 @@
         return allocator
 
     def _expected(self, now: float) -> list[str]:
-        """Names of processes that may hold leases of any allocator."""
+        """Names of processes that may still hold leases."""
         names = [self._directory.own.name]
         for name, member in self._possible_members():
             dead = member.liveness is messages.Liveness.DEAD
@@ -269,8 +267,8 @@
             return []
         allocator = self._allocator_by_shard.get(delegation.shard)
         if allocator is None:
-            # Even if this process selects another allocator: it grants no more
-            # than the shares delegated to it.
+            # This is safe even if this process selects another allocator: an
+            # allocator grants no more than the shares delegated to it.
             allocator = self._start_allocator(delegation.shard, now)
         given = allocator.receive_delegation(delegation, now)
         if given is None:
@@ -294,7 +292,7 @@
 
 
 def _is_draining(info: messages.ProcessInfo) -> bool:
-    """Whether a process is draining: it announces all targets as paused."""
+    """Whether a process reports all its targets as paused."""
     paused = messages.TargetState.PAUSED
     states = [target.state for target in info.targets]
     return bool(states) and all(state is paused for state in states)
--- a/forklift/local_quota.py
+++ b/forklift/local_quota.py
@@ -18,18 +18,18 @@
 from forklift import rates
 from forklift import rendezvous
 
-# Number of shards of the organisations. More shards limit the effect of an
-# allocator that fails; fewer need fewer messages.
+# Number of shards into which the organisations are divided. Each shard has an
+# allocator of its own.
 SHARD_COUNT = 8
 # Seconds over which the arrival rate of an organisation is measured.
 DEMAND_WINDOW_SECONDS = 4.0
-# An organisation needs no lease if its requests are farther apart, seconds.
+# Mean time between requests above which an organisation needs no lease.
 MAX_REQUEST_INTERVAL_SECONDS = 10.0
 # Number of delegations to an allocator whose answers are still accepted.
 MAX_PENDING_DELEGATIONS = 16
-# Bounds of the time for which requests are rejected without asking, after the
-# allocator ran out of tokens, seconds. Tokens may come back earlier than it
-# said if the demand falls or the limit rises.
+# Bounds of the time for which requests are rejected without asking the
+# allocator after it has run out of tokens. Tokens may become available earlier
+# than the allocator announced.
 MIN_EXHAUSTED_SECONDS = 0.05
 MAX_EXHAUSTED_SECONDS = 0.5
 # Seconds without requests after which an organisation is forgotten.
@@ -63,7 +63,7 @@
     """The leases that one run of an allocator granted.
 
     Attributes:
-        expires_at: Monotonic seconds.
+        expires_at: Time at which the leases expire, monotonic seconds.
         share_by_organisation: Leased fraction of each limit.
     """
 
@@ -73,13 +73,21 @@
 
 @dataclasses.dataclass
 class _Exchange:
-    """The exchange of messages with one allocator."""
+    """State of the message exchange with one allocator.
+
+    Attributes:
+        boot: Run of the allocator that sent the last allocation.
+        last_sent: Sequence number of the last delegation.
+        last_received: Sequence number of the last allocation.
+        echoed: Whether a delegation has echoed an allocation. Only then may the
+            allocator grant the share of this process.
+        sent_at: Times at which recent delegations were sent, by sequence
+            number, monotonic seconds.
+    """
 
     boot: int = 0
     last_sent: int = 0
     last_received: int = 0
-    # Whether a delegation has echoed an allocation; the allocator counts the
-    # share only then.
     echoed: bool = False
     sent_at: collections.OrderedDict[int, float] = dataclasses.field(
         default_factory=collections.OrderedDict
@@ -93,15 +101,15 @@
         self.allocator = ""
         self.next_delegation = -math.inf
         self.exchange_by_name: dict[str, _Exchange] = {}
-        # By name and boot of the allocator.
+        # Leases by the name and boot of the allocator that granted them.
         self.leases_by_allocator: dict[tuple[str, int], _LeaseSet] = {}
-        # Monotonic seconds until which an allocator, by name and boot, may
-        # count the share of this process.
+        # Time until which an allocator, by name and boot, may grant the share
+        # of this process; monotonic seconds.
         self.delegated_until: dict[tuple[str, int], float] = {}
         self.organisations: set[str] = set()
         self.allocation_at: float | None = None
-        # When the first delegation since the last answer of the allocator was
-        # sent; None if there is none.
+        # Time of the first delegation that the allocator has not answered,
+        # monotonic seconds; None if it has answered all of them.
         self.unanswered_since: float | None = None
 
     def leased_share(self, organisation: str, now: float) -> float:
@@ -120,24 +128,25 @@
         self.bucket = rate_limits.TokenBucket(now)
         self.arrivals = rates.DecayingCounter(DEMAND_WINDOW_SECONDS)
         self.seen_at = now
-        # Requests are rejected until then, as the allocator has no tokens left.
+        # The allocator has no tokens left; requests are rejected until this
+        # time, monotonic seconds.
         self.exhausted_until = -math.inf
         self.tokens_wanted = 0
         self.admitted = 0
         self.refused = 0
 
     def rate(self, now: float) -> float:
-        """Recent arrivals, requests per second."""
+        """Recent arrival rate, requests per second."""
         return self.arrivals.count(now) / DEMAND_WINDOW_SECONDS
 
 
 def shard_of(organisation: str) -> int:
-    """Shard of an organisation; the same at every process."""
+    """Returns the shard of an organisation; the same at every process."""
     return rendezvous.score("shard", organisation) % SHARD_COUNT
 
 
 class LocalQuota:
-    """Admission of requests within the leases of one process."""
+    """Admits requests within the leases of one process."""
 
     def __init__(
         self,
@@ -147,7 +156,7 @@
         own_share: Callable[[], float],
         has_ended: Callable[[str, int], bool] = lambda name, boot: False,
     ):
-        """Makes a quota without leases.
+        """Creates a quota without leases.
 
         Args:
             own: Describes this process.
@@ -169,7 +178,12 @@
     # Requests.
 
     def admit(self, organisation: str, now: float) -> AdmissionResult:
-        """Decides on a request of an organisation that has arrived."""
+        """Decides whether to admit a request that has arrived.
+
+        Args:
+            organisation: Name of the organisation that sent the request.
+            now: Monotonic seconds.
+        """
         limit = self._find_organisation(organisation)
         if limit is None or not limit.limited:
             return AdmissionResult(Decision.ADMIT)
@@ -192,7 +206,7 @@
             usage.tokens_wanted = count
 
     def record_outcome(self, organisation: str, granted: bool) -> None:
-        """Counts a request that waited for the allocator."""
+        """Counts a request that waited for the allocator's decision."""
         usage = self.usage_by_organisation.get(organisation)
         if usage is None:
             return
@@ -208,7 +222,7 @@
             self._refill(organisation, usage, now)
 
     def leased_share(self, organisation: str, now: float) -> float:
-        """Fraction of its limit that this process holds leases for."""
+        """Fraction of a limit that this process holds valid leases for."""
         return self._shards[shard_of(organisation)].leased_share(
             organisation, now
         )
@@ -291,7 +305,10 @@
         )
 
     def _shorten_delegations(self, state: _Shard, now: float) -> None:
-        """Shortens delegations to ended runs to the life of their leases."""
+        """Shortens delegations to runs that have ended.
+
+        Only leases that such a run granted may still be in use.
+        """
         for key, until in state.delegated_until.items():
             if self._has_ended(*key):
                 state.delegated_until[key] = min(
@@ -309,7 +326,7 @@
         return state.allocator == name and state.unanswered_since is None
 
     def seconds_unanswered(self, shard: int, now: float) -> float:
-        """Seconds for which the allocator of a shard has not answered."""
+        """Seconds since the first unanswered delegation; 0 if there is none."""
         since = self._shards[shard].unanswered_since
         return now - since if since is not None else 0.0
 
@@ -324,11 +341,14 @@
     def receive(
         self, allocation: messages.Allocation, now: float
     ) -> tuple[messages.TokenGrant, ...] | None:
-        """Takes the leases of an allocation into use.
+        """Activates the leases of an allocation.
+
+        They replace the leases of the same allocator and of the allocators that
+        the allocation supersedes.
 
         Returns:
             Answers to the requests for tokens; None if the allocation does not
-            answer a recent delegation, or arrived out of order.
+            answer a recent delegation or arrives out of order.
         """
         if not 0 <= allocation.shard < SHARD_COUNT:
             return None
@@ -360,7 +380,7 @@
         return allocation.token_grants
 
     def delegation_confirmed(self, shard: int) -> bool:
-        """Whether the allocator can count the share of this process."""
+        """Whether the allocator may grant the share of this process."""
         state = self._shards[shard]
         exchange = state.exchange_by_name.get(state.allocator)
         return exchange is not None and exchange.echoed
--- a/forklift/log_trace.py
+++ b/forklift/log_trace.py
@@ -1,7 +1,7 @@
 """Traces a request or a target through the logs of several processes.
 
-Lines are sorted by wall time, so the order of lines of different instances is
-only as exact as their clocks agree.
+Lines are sorted by wall time, so the order of lines of different instances
+depends on how well their clocks are synchronized.
 """
 
 import dataclasses
@@ -73,7 +73,7 @@
 
 
 def trace_request(lines: list[LogLine], request: str) -> list[str]:
-    """Describes a request line by line, then the cause of its outcome."""
+    """Formats the log lines of a request, and the cause of its outcome."""
     own = [line for line in lines if line.fields.get("request") == request]
     if not own:
         return []
@@ -87,7 +87,7 @@
 
 
 def trace_target(lines: list[LogLine], target: str) -> list[str]:
-    """Describes the log lines of a target."""
+    """Formats the log lines of a target."""
     return [
         _format(line) for line in lines if line.fields.get("target") == target
     ]
--- a/forklift/membership.py
+++ b/forklift/membership.py
@@ -1,4 +1,4 @@
-"""SWIM membership: which processes exist and whether they are alive."""
+"""SWIM membership: the known processes and their liveness."""
 
 import dataclasses
 
@@ -12,10 +12,11 @@
 SUSPICION_TIMEOUT = 3.0
 # Seconds until a dead or departed process is forgotten.
 DEAD_RETENTION = 600.0
-# Members tracked for each service that has no target on this process.
+# Maximum number of usable members tracked as gateways for each service that
+# has no target on this process.
 GATEWAYS_PER_SERVICE = 8
-# While fewer members than this are known, all processes are tracked, whether or
-# not they share a service. A description takes a few hundred bytes.
+# While fewer members than this are known, processes are tracked even if they
+# share no service.
 FULL_MEMBERSHIP_LIMIT = 1024
 
 
@@ -65,7 +66,8 @@
         self.own = own
         self._full_membership_limit = full_membership_limit
         self.member_by_name: dict[str, Member] = {}
-        # Rises when a process joins, leaves or changes its services.
+        # Increases when a process joins, becomes usable or unusable, changes
+        # its services or is forgotten.
         self.membership_version = 0
         self._changed = {own.name}
         self._digest = 0
@@ -94,12 +96,12 @@
     ) -> bool:
         """Merges an update about a process.
 
-        Values that each heartbeat refreshes are merged but not propagated.
+        Values that each heartbeat updates are merged but not propagated.
 
         Args:
             rumor: The update.
             now: Monotonic seconds.
-            direct: Whether it comes from the process that it describes.
+            direct: Whether the described process sent the update itself.
 
         Returns:
             Whether the update should be propagated to peers.
@@ -128,8 +130,8 @@
             self._set(Member(info, rumor.liveness, now))
             return True
         if info.boot != known.info.boot:
-            # A new run looks older if the clock was set back. It is accepted
-            # when it sends messages itself and the known run is not alive.
+            # A new run seems older if the clock was set back. It is accepted
+            # if it sent the message itself and the known run is not alive.
             clock_set_back = direct and known.liveness is not Liveness.ALIVE
             if not clock_set_back and not _newer(info, known.info):
                 return False
@@ -142,7 +144,11 @@
         return self.apply(messages.Rumor(Liveness.ALIVE, info), now, True)
 
     def mark(self, name: str, liveness: Liveness, now: float) -> bool:
-        """Records a worse liveness seen here; returns whether it changed."""
+        """Records that this process found a member less alive.
+
+        Returns:
+            Whether the liveness changed.
+        """
         known = self.member_by_name.get(name)
         if known is None or liveness <= known.liveness:
             return False
@@ -150,10 +156,12 @@
         return True
 
     def expire(self, now: float) -> list[messages.Rumor]:
-        """Declares old suspects dead and forgets old dead members.
+        """Declares members dead after the suspicion timeout.
+
+        Members that have been dead or gone for long are forgotten.
 
         Returns:
-            The new deaths, to be propagated.
+            Rumors about newly dead members, to be propagated.
         """
         news = []
         for name, member in list(self.member_by_name.items()):
@@ -278,7 +286,7 @@
         self.membership_version += 1
 
     def _member_hash(self, member: Member) -> int:
-        """What a member adds to the digest; 0 if it is out of scope."""
+        """Hash that a member adds to the digest; 0 if it is out of scope."""
         if self._full_membership_limit == 0 and services(self.own).isdisjoint(
             services(member.info)
         ):
@@ -299,7 +307,7 @@
 
 
 def _hash(liveness: Liveness, info: messages.ProcessInfo) -> int:
-    # Excludes values that each heartbeat refreshes; they need no sync.
+    # Excludes values that each heartbeat updates, as they need no sync.
     states = sum(target.version for target in info.targets)
     parts = (info.name, info.boot, info.incarnation, states, int(liveness))
     text = str(parts)
--- a/forklift/messages.py
+++ b/forklift/messages.py
@@ -32,7 +32,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request was refused, was aborted or was decided otherwise."""
+    """Why a request was rejected, was aborted or failed."""
 
     BUSY = "busy"
     CANCELLED = "cancelled"
@@ -170,8 +170,8 @@
             of sending; negative if it has been missed.
         wait: Whether the request may wait for a free slot instead of being
             rejected.
-        start_within: Seconds after sending within which it must start.
-        fingerprint: Fingerprint of the request; equal if it is sent again.
+        start_within: Seconds after sending within which the request must start.
+        fingerprint: Fingerprint of the request; the same for a retry.
         exclusive: Whether the request must not run concurrently with others,
             as a target crashed while running it.
         organisation: Name of the calling organisation, or empty.
@@ -316,9 +316,9 @@
     """Reply to a FenceRequest.
 
     Attributes:
-        id: Stream ID of the request.
-        not_run: Whether it is certain that the request did not and will not
-            start.
+        id: Stream ID of the FenceRequest.
+        not_run: Whether it is certain that the fenced request has not started
+            and will not start.
     """
 
     id: int
@@ -392,7 +392,7 @@
         started: Wall time of the start, seconds since the epoch. Of two boots
             with the same name, the later one wins.
         targets: Targets of the process.
-        config: Version of the configuration in force.
+        config: Version of the active configuration.
         unreachable_peers: Names of peers that the process can't reach.
         store_epoch: Latest known epoch of the store; increases whenever the
             store loses records.
@@ -478,7 +478,7 @@
 
 
 class Pong(_Message, tag=41):
-    """Reply to a Ping."""
+    """Reply to a Ping, with the sequence number of the Ping."""
 
     sender: Sender
     number: int
@@ -502,13 +502,13 @@
 
 
 class CatalogOffer(_Message, tag=50):
-    """The configuration in force, for a process that has an older version.
+    """The active configuration, for a process that has an older version.
 
     Attributes:
         sender: Sending process.
         version: Version of the configuration.
-        compressed: Compressed configuration record.
-        age: Seconds since the version came into force at any process.
+        compressed: Configuration record, compressed with zlib.
+        age: Seconds since the version became active at the first process.
     """
 
     sender: Sender
@@ -531,13 +531,13 @@
 
 
 class CatalogVersion(_Message, tag=52):
-    """Version of the configuration that a process has in force.
+    """Version of the active configuration of a process.
 
     Attributes:
         sender: The process.
         boot: Boot of the process.
         version: Version of the configuration.
-        age: Seconds since the version came into force at any process.
+        age: Seconds since the version became active at the first process.
         confirm: Whether the receiver should reply with its own version.
         is_retry: Whether an earlier message was not answered. The receiver then
             replies over a new connection.
@@ -552,12 +552,12 @@
 
 
 class CatalogRequest(_Message, tag=53):
-    """Requests the configuration that is in force at the receiver.
+    """Requests the active configuration of the receiver.
 
     Attributes:
         sender: Requesting process.
         boot: Boot of that process.
-        version: Version that it has; only a newer one is sent.
+        version: Active version of that process; only a newer one is sent.
         is_retry: Whether an earlier request was not answered. The receiver then
             replies over a new connection.
     """
--- a/forklift/organisations.py
+++ b/forklift/organisations.py
@@ -10,8 +10,7 @@
 
 from forklift import errors
 
-# Size of a digest, bytes: large enough that nobody finds a second key with the
-# same digest.
+# Size of a digest in bytes; prevents collisions of keys.
 DIGEST_SIZE = 16
 
 
@@ -40,10 +39,10 @@
     """Configuration of one organisation.
 
     Attributes:
-        name: Its name, which is sent to targets with its requests.
+        name: Name of the organisation, sent to targets with its requests.
         digests: Digests of its keys.
-        priority: Priority of its requests, which overrides that of the route; 0
-            is the most urgent, None uses the priority of the route.
+        priority: Priority of its requests, 0 is the most urgent; None means the
+            priority of the route.
         rate: Rate limit over all processes, requests per second; 0 means
             unlimited.
         burst: Number of requests beyond the rate that may arrive at once.
@@ -100,15 +99,16 @@
     ) -> Organisation | None:
         """Finds the organisation that sent a request.
 
-        An unknown key is an error on public routes, too, so that a caller
-        notices an outdated key.
+        An unknown key is also rejected on routes that allow requests without a
+        key, so that callers notice an outdated key.
 
         Args:
             keys: All keys that the request carries.
             allows_anonymous: Whether the route accepts requests without a key.
 
         Returns:
-            The organisation; None for a request without a key on such a route.
+            The organisation; None for a request without a key on a route that
+            allows these.
 
         Raises:
             UnknownCaller: The request does not carry exactly one known key.
--- a/forklift/platform/__init__.py
+++ b/forklift/platform/__init__.py
@@ -1,5 +1,5 @@
 """Adapters for the users' platform: its names, formats and calls.
 
-The modules decode messages of the platform into types of the product and make
-no decisions. docs/PLATFORM.md describes the messages.
+The modules convert messages of the platform to types of forklift and make no
+decisions. docs/PLATFORM.md describes the messages.
 """
--- a/forklift/platform/configuration.py
+++ b/forklift/platform/configuration.py
@@ -17,8 +17,7 @@
 MILLISECONDS_PER_SECOND = 1000
 # Default maximum number of targets that a request is sent to.
 DEFAULT_ATTEMPTS = 2
-# Default request timeout in seconds; a shorter deadline of the caller takes
-# precedence.
+# Default request timeout in seconds.
 DEFAULT_TIMEOUT = 60.0
 # Default latency objective in seconds.
 DEFAULT_OBJECTIVE = 1.0
@@ -109,7 +108,7 @@
 
 
 class InvalidRecord(errors.ForkliftError):
-    """The configuration record is invalid; the current one stays in force."""
+    """The configuration record is invalid; the active one is kept."""
 
     def __init__(self, detail: str):
         super().__init__(
@@ -122,7 +121,7 @@
     """Decodes a configuration record.
 
     Raises:
-        InvalidRecord: With the reason.
+        InvalidRecord: The record is invalid.
     """
     try:
         record = _decoder.decode(data)
--- a/forklift/platform/endpoints.py
+++ b/forklift/platform/endpoints.py
@@ -85,7 +85,7 @@
     def __init__(self, detail: str):
         super().__init__(
             f"invalid call of a target ({detail}); the last valid heartbeat "
-            "stays in force, find out who sends such calls"
+            "is still used; check the program that sends these calls"
         )
 
 
@@ -95,7 +95,8 @@
 
     Attributes:
         on_heartbeat: Called with each heartbeat of a target.
-        on_deregistration: Called when a run of a target is about to end.
+        on_deregistration: Called when an incarnation of a target is about to
+            end.
         is_ready: Returns whether the process is ready for callers.
     """
 
--- a/forklift/platform/store.py
+++ b/forklift/platform/store.py
@@ -33,19 +33,18 @@
 _LENGTH = struct.Struct("!I")
 # A read starts with the end offset and the first retained offset.
 _BOUNDS = struct.Struct("!QQ")
-# Response header with the epoch of the store, which increases whenever the
+# Response header with the epoch of the store. The epoch increases when the
 # store is restored from a backup and loses later writes.
 _EPOCH_HEADER = b"store-era"
 _MAX_EPOCH_DIGITS = 18
 _OK = 200
 _GONE = 410
 _PRECONDITION_FAILED = 412
-# Timeout in seconds of all calls but long polls. It is short, as processes must
-# find each other within 2 s after the store recovers, including one call that
-# hangs until its timeout and the longest pause between retries.
+# Timeout in seconds of all other calls except long polls. It limits how long a
+# call that hangs delays a retry after the store recovers.
 REQUEST_TIMEOUT = 1.0
-# Timeout in seconds of the first append. It is longer, as the store serializes
-# appends and all processes of a fleet may start at the same time.
+# Timeout in seconds of the first append and of publishing. All processes of a
+# fleet may start at the same time, and the store serializes appends.
 FIRST_APPEND_TIMEOUT = 2.0
 # Seconds added to the wait time of a long poll to get its timeout.
 LONG_POLL_MARGIN = 1.0
@@ -66,10 +65,10 @@
 
 
 class _NewestPage(msgspec.Struct, frozen=True, rename="kebab"):
-    # Decoded one by one, as other writers may have stored invalid items.
+    # Decoded separately, as other writers may have stored invalid items.
     items: tuple[msgspec.Raw, ...]
     end: int
-    # Whether there is another page after the last key of this one.
+    # Whether another page follows after the last key of this page.
     has_more: bool = False
 
 
@@ -87,9 +86,9 @@
     def __init__(self, address: str):
         self._client = client.Client(address)
         self.on_lost: Callable[[], None] = lambda: None
-        # Highest epoch of any response, and the epoch in which the current
-        # position in the configuration topic was read.
+        # Highest epoch of any response.
         self.epoch: int | None = None
+        # Epoch in which the position in the configuration topic was read.
         self._position_epoch: int | None = None
         self.calls = 0
         self.failures = 0
@@ -126,8 +125,8 @@
             key, value = _split_key(record)
             if key == _CONFIGURATION_KEY:
                 found = value
-        # The response may be truncated, so the position follows from the
-        # records that it holds.
+        # The response may not hold all records, so the next position is
+        # computed from the number of records in it.
         after = position + len(records) if records else max(position, end)
         return interfaces.ConfigurationRead(found, after)
 
@@ -292,7 +291,7 @@
 def _split_key(record: bytes) -> tuple[str, bytes]:
     """Splits a record of a keyed topic into key and value.
 
-    Records with an incomplete key get an empty one, which nobody reads.
+    A record with an incomplete key gets an empty key, which is never read.
     """
     if not record or len(record) < 1 + record[0]:
         invalid_input.record(
--- a/forklift/quarantine.py
+++ b/forklift/quarantine.py
@@ -1,14 +1,14 @@
 """Quarantine of requests that crash targets.
 
 A request that crashes each target that runs it (a "query of death") takes down
-a service one target at a time, as callers and proxies retry it. So each crash
-is evidence against the requests that the target was running. A request is
-cleared when any target answers it with success. A suspected request runs alone,
-so its next run shows whether it was the cause.
-
-Evidence only grows: crashes are added, and each may become void. So processes
-that receive evidence in any order, repeatedly or after a partition reach the
-same verdicts.
+a service one target at a time, as callers and proxies retry it. Each crash is
+therefore evidence against the requests that the target was running. A request
+is cleared when any target answers it with success. A suspected request runs
+alone, so that its next run shows whether it was the cause.
+
+Evidence only grows: crashes are added, and each may become void. Processes
+therefore reach the same verdicts if they receive evidence in any order,
+repeatedly or after a partition.
 """
 
 import collections
@@ -21,39 +21,40 @@
 
 from forklift import messages
 
-# Weight of evidence at which a request is quarantined. A crash of a target that
-# ran other requests, too, weighs one, otherwise two. So three crashes suffice,
-# or two if the request ran alone in one of them; a single crash may be a
-# coincidence.
+# Weight of evidence at which a request is quarantined.
 QUARANTINE_WEIGHT = 3
+# Weight of the crash of a target that ran no other request; other crashes
+# weigh 1.
 SOLE_REQUEST_WEIGHT = 2
-# Seconds for which a request is quarantined after its last crash. The time
-# doubles with each further crash, up to MAX_DOUBLINGS times.
+# Seconds for which a request is quarantined after its last crash, before
+# doubling.
 QUARANTINE_SECONDS = 600.0
+# Maximum number of doublings; each crash beyond QUARANTINE_WEIGHT doubles the
+# duration.
 MAX_DOUBLINGS = 6
-# Seconds for which evidence is kept after the last crash, or after the release
-# from quarantine: a single crash then quarantines the request again. Void
-# evidence is kept as well, so that late reports of it change nothing.
+# Seconds for which evidence is kept after the last crash or the release from
+# quarantine. Void evidence is kept as well, so that late reports of it change
+# nothing.
 RETENTION_SECONDS = 3600.0
-# Seconds after a successful response during which a request is not blamed for a
-# crash: one that crashes each target never gets a response.
+# Seconds after a successful response during which a request is not blamed for
+# crashes.
 EXONERATION_SECONDS = 10.0
 # Maximum number of requests with evidence that are kept.
 MAX_CASES = 512
 # Maximum number of crashes that are kept per request.
 MAX_CRASHES_PER_CASE = 8
-# Maximum number of recent successful requests that are kept, to clear them when
-# other processes report evidence.
+# Maximum number of recent successful requests that are remembered, to clear
+# them when other processes report evidence.
 MAX_RECENT_SUCCESSES = 512
 
 
 class Verdict(enum.Enum):
-    """The state of a request."""
+    """Whether a request may run."""
 
     CLEAR = "clear"
-    # It may have crashed a target, and runs alone.
+    # The request may have crashed a target; it runs alone.
     SUSPECTED = "suspect"
-    # It is rejected.
+    # The request is rejected.
     QUARANTINED = "held"
 
 
@@ -62,7 +63,7 @@
     """A crash of a target while it ran a request.
 
     Attributes:
-        at: Monotonic seconds of this process.
+        at: Time of the crash, monotonic seconds of this process.
         alone: Whether the target ran no other request.
         void: Whether the request was found not to be the cause.
     """
@@ -104,7 +105,7 @@
         return _quarantine_end(self.valid)
 
     def expires_at(self) -> float:
-        """Time after which the evidence is dropped, monotonic seconds."""
+        """Time at which the evidence expires, monotonic seconds."""
         release = _quarantine_end(self._all)
         return (self.last if release is None else release) + RETENTION_SECONDS
 
@@ -113,7 +114,7 @@
     """Computes the end of the quarantine that crashes justify.
 
     Args:
-        crashes: Crashes that count, oldest first.
+        crashes: Crashes to count, oldest first.
 
     Returns:
         Monotonic seconds; None if the crashes weigh too little.
@@ -132,8 +133,8 @@
     """Evidence that changed and has not been sent yet.
 
     Attributes:
-        local: Evidence to which this process added.
-        relayed: Evidence as another process reported it.
+        local: Evidence that this process extended.
+        relayed: Evidence that is unchanged since another process reported it.
     """
 
     local: list[messages.Evidence]
@@ -156,8 +157,8 @@
         self._success_at: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
-        # Requests with changes that have not been sent, and whether this
-        # process added to the evidence.
+        # Whether this process extended the evidence, for each request with
+        # changes that have not been sent.
         self._unsent: dict[bytes, bool] = {}
         self._digest: int | None = 0
 
@@ -200,12 +201,12 @@
         """Records the crash of a target.
 
         Args:
-            running: Fingerprints of the requests that the target ran; an empty
-                one stands for a request without a fingerprint.
+            running: Fingerprints of the requests that the target ran; empty
+                for a request without a fingerprint.
             crash: Identifier of the crash.
             now: Monotonic seconds.
         """
-        # If a quarantined request ran, it is the cause, and not the others.
+        # If quarantined requests ran, only they are blamed.
         known = {one for one in running if self.quarantined_for(one, now)}
         blamed = known or set(running)
         alone = len(blamed) == 1
@@ -318,8 +319,8 @@
         if not merged or now >= case.expires_at() or _equivalent(before, case):
             return
         self._case_by_fingerprint[fingerprint] = case
-        # Evidence that another process reported is only relayed, unless this
-        # process adds to it.
+        # Evidence of another process is only relayed, unless this process
+        # extends it.
         more = own or not _equivalent(_Case(crash_by_id), case)
         self._unsent[fingerprint] = more or self._unsent.get(fingerprint, False)
         self._digest = None
@@ -328,7 +329,7 @@
         self._enforce_case_limit()
 
     def _void_explained(self, culprit: bytes) -> None:
-        """Voids crashes of other requests that a quarantined one explains."""
+        """Voids the crashes of a quarantined request for other requests."""
         explained = self._case_by_fingerprint[culprit].crash_by_id
         for fingerprint, case in self._case_by_fingerprint.items():
             if fingerprint == culprit or case.quarantined_until() is not None:
@@ -340,8 +341,8 @@
                 for number, one in case.crash_by_id.items()
             }
             if crash_by_id != case.crash_by_id:
-                # Not sent: other processes conclude the same from the evidence
-                # against the culprit.
+                # This is not sent, as other processes conclude the same from
+                # the evidence against the culprit.
                 self._case_by_fingerprint[fingerprint] = _Case(crash_by_id)
 
     def _enforce_case_limit(self) -> None:
@@ -366,7 +367,7 @@
 
 
 def _equivalent(before: _Case, after: _Case) -> bool:
-    """Whether two cases are equal but for times, which are not exact."""
+    """Whether two cases are equal except for the times of crashes."""
     if before.crash_by_id.keys() != after.crash_by_id.keys():
         return False
     return all(
--- a/forklift/quarantine_sync.py
+++ b/forklift/quarantine_sync.py
@@ -1,10 +1,10 @@
 """Synchronizes the evidence on requests that crash targets between processes.
 
-Such a request may be retried at any process within milliseconds. So new
-evidence is sent to all peers at once and relayed once in fleets where not all
-processes are peers. Datagrams are lost, and processes start, pause and are
-partitioned. So heartbeats carry a digest of the evidence, and two processes
-with different digests exchange all of theirs (anti-entropy).
+Such a request may be retried at any process within milliseconds. New evidence
+is therefore sent to all peers at once, and relayed once in fleets where not all
+processes are peers. To recover from lost datagrams, pauses and partitions,
+gossip messages carry a digest of the evidence, and two processes with different
+digests exchange all their evidence (anti-entropy).
 """
 
 import random
@@ -16,15 +16,14 @@
 from forklift import messages
 from forklift import quarantine as quarantines
 
-# Maximum number of cases in one message, so that it fits a datagram.
+# Maximum number of cases in one message; keeps a message within one datagram.
 MAX_CASES_PER_MESSAGE = 12
 # Number of peers to which evidence of another process is relayed, if not all
-# processes are peers. Six reach 99.8 % of a large fleet (final size of an
-# epidemic); heartbeats reach the rest.
+# processes are peers. The remaining processes obtain it by anti-entropy.
 RELAY_FANOUT = 6
 # Number of peers that a process asks for evidence after a pause.
 REQUEST_FANOUT = 3
-# Seconds between two removals of expired evidence.
+# Seconds between removals of expired evidence.
 EXPIRY_PERIOD = 1.0
 
 
@@ -38,13 +37,13 @@
         peers: Callable[[], list[str]],
         rng: random.Random,
     ):
-        """Makes a synchronizer.
+        """Creates a synchronizer.
 
         Args:
             directory: The known processes.
             quarantine: The evidence to synchronize.
             peers: Returns the names of the peers of this process.
-            rng: Draws peers.
+            rng: Source of randomness for the choice of peers.
         """
         self._directory = directory
         self._quarantine = quarantine
@@ -75,7 +74,7 @@
     def receive(
         self, message: messages.SuspectedRequests, now: float
     ) -> list[gossip.Send]:
-        """Merges evidence of a peer; answers if the peer asked for it."""
+        """Merges evidence of a peer and returns the reply, if requested."""
         self._quarantine.merge(message.evidence, now)
         if (
             not message.wants_reply
@@ -130,7 +129,7 @@
     def _split(
         self, evidence: Sequence[messages.Evidence], ask: bool
     ) -> list[messages.SuspectedRequests]:
-        """Splits evidence into messages; only the last asks for an answer."""
+        """Splits evidence into messages; only the last may request a reply."""
         starts = range(0, len(evidence), MAX_CASES_PER_MESSAGE)
         return [
             self._make_message(
--- a/forklift/rate_limits.py
+++ b/forklift/rate_limits.py
@@ -1,15 +1,15 @@
 """Token buckets for the rate limits of organisations.
 
 A limit consists of a rate, in requests per second, and a burst. It applies to
-all processes together: each holds a share of it, or asks for single tokens.
+all processes together. Each process leases a share of it or requests single
+tokens.
 """
 
 import dataclasses
 import math
 
 # Fraction of the permitted overshoot that stored tokens may use. The rest
-# covers requests that wait between admission and target, and views of the fleet
-# that differ for a moment.
+# covers delays between admission and target, and differing views of the fleet.
 STORABLE_OVERSHOOT = 0.4
 
 
--- a/forklift/report.py
+++ b/forklift/report.py
@@ -8,7 +8,7 @@
 
 
 class Problem(_Report):
-    """Why a call was rejected, and how to fix it."""
+    """Reason why a call was rejected, and how to fix the call."""
 
     error: str
 
@@ -18,7 +18,7 @@
 
     Attributes:
         at: Wall time, seconds since the epoch.
-        doubted: Whether the target is ejected from then on.
+        doubted: Whether the target was ejected; False if it was reinstated.
         sign: Signal that caused the change.
         risk: Probability that the target was unhealthy at that time, 0 to 1.
     """
@@ -96,7 +96,7 @@
         domain: Failure domain.
         admin: Address of its admin listener.
         liveness: Membership state.
-        config: Version of the configuration that it has in force.
+        config: Version of its active configuration.
     """
 
     name: str
@@ -113,8 +113,8 @@
         process: Name of the process.
         version: Version of its software.
         ready: Whether it is ready for callers.
-        config: Version of the configuration in force; 0 if there is none.
-        policy: Name of the policy in force.
+        config: Version of the active configuration; 0 if there is none.
+        policy: Name of the active policy.
         targets: Known targets.
         processes: Known processes.
         broken: Number of violations by invariant.
@@ -162,7 +162,7 @@
         sends: Number of attempts at targets, and how many were retries.
         running: Number of requests in flight.
         connections: Number of open connections of callers.
-        incarnation: Increases with each pause of the process.
+        incarnation: Increases with each detected pause of the process.
         held: Remaining quarantine time of requests that crashed targets, in
             seconds, by fingerprint.
         store: Number of calls to the store, and how many failed.
--- a/forklift/settings.py
+++ b/forklift/settings.py
@@ -129,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RateLimitTolerances:
-    """Section [organisations]: tolerances of the rate limits."""
+    """Section [organisations]: permitted overshoot of rate limits."""
 
     window: float = ini.key(
         ini.number(0.1, 3600), "seconds over which requests are counted", 5.0
@@ -159,7 +159,7 @@
         platform: Connection to the platform and its targets.
         limits: Caller connections and cross-domain cost.
         budget: Retry budget and calls between services.
-        organisations: Tolerances of the rate limits.
+        organisations: Permitted overshoot of rate limits.
     """
 
     process: Process
@@ -182,7 +182,7 @@
     """Parses settings from text.
 
     Raises:
-        errors.FileProblems: With every problem found.
+        errors.FileProblems: The settings are invalid.
     """
     reader = ini.Reader(file, content)
     for section in reader.sections:
--- a/forklift/store_readers.py
+++ b/forklift/store_readers.py
@@ -1,25 +1,28 @@
-"""Chooses which processes wait at the store for configuration changes.
-
-Every new version ends all waiting reads, and each read costs the store. In a
-large fleet only some processes therefore wait at the store; peers tell the
-others. All processes agree on the readers without coordination: they use
-rendezvous hashing over the usable members, plus a few readers in each failure
-domain, so that a partitioned domain has readers of its own.
+"""Selects the processes that long-poll the store for new configurations.
+
+Each new version completes all long polls at once, and every reader then polls
+again, which loads the store. In a large fleet only some processes are therefore
+readers; the others learn of new versions from peers. All processes select the
+same readers without coordination, by rendezvous hashing over the usable
+members. Each failure domain has some readers, so that it still receives
+versions from the store if it is partitioned from the other domains.
 """
 
 from forklift import membership
 from forklift import rendezvous
 
-# In a smaller fleet all processes are readers. With this many, new reads start
-# often enough to notice a version in time even if all connections are silent.
+# Minimum number of readers; in a smaller fleet all processes are readers.
 MIN_READERS = 32
-# More than one, as a reader may be stopping or partitioned.
+# Minimum number of readers in each failure domain.
 READERS_PER_DOMAIN = 2
 _SALT = "readers"
 
 
 class StoreReaders:
-    """The processes that wait at the store, as this process sees them."""
+    """The processes that long-poll the store for new configurations.
+
+    They are selected from the members that this process knows.
+    """
 
     def __init__(self, directory: membership.Directory):
         self._directory = directory
