--- a/forklift/health.py
+++ b/forklift/health.py
@@ -39,12 +39,12 @@
 UNHEALTHY_FAILURE_RATE = 0.75
 # Lower bound on the learned error rate of a healthy target.
 MIN_ERROR_RATE = 0.03
-# Upper bound on that rate, which is high while calls of the target to other
-# services fail.
+# Upper bound on the learned error rate, which rises while calls of the target
+# to other services fail.
 MAX_ERROR_RATE = 0.5
 # Weight of the latest response in the error rate.
 ERROR_RATE_GAIN = 0.03
-# Share of the requests to a healthy target that fail with each other signal.
+# Share of the requests to a healthy target that end with each of these signals.
 HEALTHY_FAILURE_RATE_BY_SIGNAL = {
     Signal.BROKEN: 0.005,
     Signal.UNREACHABLE: 0.005,
--- a/forklift/reachability.py
+++ b/forklift/reachability.py
@@ -10,7 +10,7 @@
 REPLY_TIMEOUT_SECONDS = 0.5
 # Seconds until the first heartbeat to an unreachable process.
 INITIAL_BACKOFF_SECONDS = 0.25
-# Maximum of that time after repeated failures.
+# Maximum seconds until the next heartbeat after repeated failures.
 MAX_BACKOFF_SECONDS = 1.0
 
 
--- a/forklift/retries.py
+++ b/forklift/retries.py
@@ -29,8 +29,8 @@
 # Seconds for which every request may queue, even if it misses its latency
 # objective.
 MIN_QUEUE_SECONDS = 0.15
-# Refusals after which the requirements are relaxed: first an unproven target is
-# accepted, then queueing.
+# Number of refusals after which the requirements are relaxed: first an unproven
+# target is accepted, then queueing.
 MAX_REFUSALS = 4
 # Number of targets whose queue is too long for the request, after which the
 # request is given up.
--- a/forklift/routing.py
+++ b/forklift/routing.py
@@ -14,7 +14,7 @@
 
 R = TypeVar("R", bound="Routable")
 ANY_HOST = "*"
-# Maximum number of leading path segments that are matched, plus one.
+# Paths are matched by fewer leading segments than this number.
 MAX_DEPTH = 32
 
 
