--- a/forklift/shell/authentication.py
+++ b/forklift/shell/authentication.py
@@ -14,7 +14,7 @@
 _HEADER = struct.Struct("!QQd")
 _MAC_BYTES = 16
 # Maximum age of a message in seconds, clock skew included.
-MAX_AGE = 10.0
+MAX_AGE_SECONDS = 10.0
 # Size of the replay window in counters. Messages with older counters are
 # rejected, so reordering by more than this loses messages.
 REPLAY_WINDOW = 256
@@ -103,7 +103,7 @@
 
     def _check_fresh(self, boot: int, counter: int, sent_at: float) -> None:
         now = self._wall_clock()
-        if abs(now - sent_at) > MAX_AGE:
+        if abs(now - sent_at) > MAX_AGE_SECONDS:
             raise messages.MalformedMessage(
                 "message time differs too much from the clock"
             )
@@ -115,7 +115,7 @@
             self._window_by_boot = {
                 known_boot: window
                 for known_boot, window in self._window_by_boot.items()
-                if now - window.last_used <= 2 * MAX_AGE
+                if now - window.last_used <= 2 * MAX_AGE_SECONDS
             }
 
     def _compute_mac(self, address: str, header: bytes, data: bytes) -> bytes:
--- a/forklift/shell/dispatch.py
+++ b/forklift/shell/dispatch.py
@@ -130,7 +130,7 @@
             start_within=start_by - now,
             exclusive=exclusive,
         )
-        to_boot = connection.peer.boot
+        to_boot = connection.peer_hello.boot
         try:
             async with asyncio.timeout(remaining + DEADLINE_GRACE):
                 if request.idempotent:
@@ -156,7 +156,7 @@
         If the peer is unresponsive, other processes relay the fence request, as
         they may still reach it.
         """
-        process = connection.peer.name
+        process = connection.peer_hello.name
         response = asyncio.create_task(
             connection.send_request(start, request, sink)
         )
@@ -167,7 +167,7 @@
             )
             if not response.done() and not sink.has_started:
                 fencing = self._fence_through_relays(
-                    process, start.seq, connection.peer.boot
+                    process, start.seq, connection.peer_hello.boot
                 )
                 if await fencing and not sink.has_started:
                     return exchange.not_run(Reason.FENCED)
@@ -179,7 +179,7 @@
         unknown = result.ending.outcome is Outcome.UNKNOWN
         if not (lost and unknown) or sink.has_started:
             return result
-        if await self._fence(process, start.seq, connection.peer.boot):
+        if await self._fence(process, start.seq, connection.peer_hello.boot):
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
         return result
 
--- a/forklift/shell/framing.py
+++ b/forklift/shell/framing.py
@@ -89,7 +89,7 @@
         on_frame: Called with each frame received.
         on_batch: Called when data arrives, before its frames are decoded.
         on_lost: Called when the connection closes.
-        peer: Address of the peer, "ip:port".
+        peer_address: Address of the peer, "ip:port".
         compress: Whether frames sent from now on are compressed. Body chunks
             never are, as most bodies already are compressed.
     """
@@ -106,7 +106,7 @@
         self.on_batch: Callable[[], None] = lambda: None
         self.on_lost: Callable[[], None] = lambda: None
         self._lost = False
-        self.peer = ""
+        self.peer_address = ""
         self.compress = False
         self._compressor: _FrameCompressor | None = None
         self._decompressor: _FrameDecompressor | None = None
@@ -115,7 +115,7 @@
         """See `asyncio.Protocol`."""
         self.transport = transport
         name = transport.get_extra_info("peername")
-        self.peer = f"{name[0]}:{name[1]}" if name else ""
+        self.peer_address = f"{name[0]}:{name[1]}" if name else ""
         if self._on_connect is not None:
             self._on_connect(self)
 
@@ -127,7 +127,9 @@
             self._process_buffer()
         except messages.MalformedMessage as error:
             _log.warning(
-                "peer_frame_malformed", peer=self.peer, detail=str(error)
+                "peer_frame_malformed",
+                peer=self.peer_address,
+                detail=str(error),
             )
             self.transport.abort()
 
@@ -155,7 +157,7 @@
         return self.transport.is_closing()
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes of frames that are not yet in the kernel send buffer."""
         return 0 if self.lost else self.transport.get_write_buffer_size()
 
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -219,7 +219,7 @@
         """Whether there is a request or an unsent response."""
         if self.connection.lost:
             return False
-        return self._has_unanswered or self.connection.unsent > 0
+        return self._has_unanswered or self.connection.unsent_bytes > 0
 
     @property
     def _has_unanswered(self) -> bool:
@@ -263,7 +263,7 @@
             await self._close_gracefully()
         except Exception:
             _log.exception(
-                "caller_connection_failed", peer=self.connection.peer
+                "caller_connection_failed", peer=self.connection.peer_ip
             )
             self.connection.abort()
         finally:
@@ -313,14 +313,14 @@
         # Input after the last request is discarded.
         self._unparsed, self._request_incomplete = b"", False
         self.connection.half_close()
-        unsent = self.connection.unsent
+        unsent = self.connection.unsent_bytes
         try:
             async with asyncio.timeout(
                 response_writer.STALL_TIMEOUT if unsent else LINGER_TIMEOUT
             ):
                 await self.connection.wait_closed()
         except TimeoutError:
-            if self.connection.unsent:
+            if self.connection.unsent_bytes:
                 self.connection.abort()
 
     def _cancel_all(self) -> None:
@@ -558,7 +558,7 @@
             return
         self._ingress.rejected += 1
         _log.info(
-            "request_rejected", peer=self.connection.peer, detail=str(error)
+            "request_rejected", peer=self.connection.peer_ip, detail=str(error)
         )
         problem = http.Problem(
             "urn:forklift:bad-request",
--- a/forklift/shell/peer_client.py
+++ b/forklift/shell/peer_client.py
@@ -20,7 +20,7 @@
 from forklift.shell import tcp_stream
 
 # Seconds for connection setup and the handshake.
-HELLO_TIMEOUT = 2.0
+HANDSHAKE_TIMEOUT = 2.0
 # Seconds to wait for the reply to a fence request.
 FENCE_TIMEOUT = 0.5
 
@@ -52,9 +52,9 @@
     The peer opens a connection of its own for requests in the other direction.
 
     Attributes:
-        peer: Hello frame of the peer; None until it arrives.
+        peer_hello: Hello frame of the peer; None until it arrives.
         authenticated: Whether the peer has proved that it knows the key.
-        ready: Future that completes once the handshake is done.
+        handshake_done: Future that completes once the handshake is done.
         on_reply: Called for each frame after the handshake.
         on_lost: Called when the connection closes.
         on_load_update: Called with load updates of the peer's targets.
@@ -76,9 +76,9 @@
         self._pending_by_id: dict[int, _PendingRequest] = {}
         self._fence_reply_by_id: dict[int, asyncio.Future] = {}
         self._keepalive_number = 0
-        self.peer: messages.Hello | None = None
+        self.peer_hello: messages.Hello | None = None
         self.authenticated = False
-        self.ready = asyncio.get_running_loop().create_future()
+        self.handshake_done = asyncio.get_running_loop().create_future()
         self.on_reply: Callable[[], None] = lambda: None
         self.on_lost: Callable[[], None] = lambda: None
         self.on_load_update: Callable[[messages.LoadUpdate], None] = (
@@ -120,7 +120,7 @@
         """
         if self.lost:
             # Nothing was sent, so the request has not run.
-            raise errors.PeerUnreachable(self.peer.name, "lost")
+            raise errors.PeerUnreachable(self.peer_hello.name, "lost")
         pending = _PendingRequest(start.idempotent)
         self._pending_by_id[start.id] = pending
         self.pending_count += 1
@@ -281,7 +281,7 @@
                 future.set_result(frame.not_run)
 
     def _handle_hello(self, hello: messages.Hello) -> None:
-        self.peer = hello
+        self.peer_hello = hello
         self.incarnation = hello.incarnation
         # Versions without support for compression leave the field unset.
         self._frames.compress = self._own_hello.compress and hello.compress
@@ -292,18 +292,18 @@
 
     def _handle_proof(self, proof: messages.Proof) -> None:
         expected = framing.compute_proof(
-            self._key, self.peer.nonce, self._own_hello.nonce
+            self._key, self.peer_hello.nonce, self._own_hello.nonce
         )
         if not hmac.compare_digest(expected, proof.digest):
-            if not self.ready.done():
-                self.ready.set_exception(
-                    AuthenticationFailed(self._frames.peer)
+            if not self.handshake_done.done():
+                self.handshake_done.set_exception(
+                    AuthenticationFailed(self._frames.peer_address)
                 )
             self._frames.transport.abort()
             return
         self.authenticated = True
-        if not self.ready.done():
-            self.ready.set_result(None)
+        if not self.handshake_done.done():
+            self.handshake_done.set_result(None)
 
     def _handle_response_start(self, head: messages.ResponseStart) -> None:
         pending = self._pending_by_id.get(head.id)
@@ -332,12 +332,12 @@
     def _handle_lost(self) -> None:
         for pending in self._pending_by_id.values():
             self._fail_request(pending)
-        if not self.ready.done():
-            self.ready.set_exception(
+        if not self.handshake_done.done():
+            self.handshake_done.set_exception(
                 framing.PeerConnectionLost("peer closed the connection")
             )
         # Marks the exception as retrieved if nothing awaits the future.
-        self.ready.exception()
+        self.handshake_done.exception()
         self.on_lost()
 
     def _fail_request(self, pending: _PendingRequest) -> None:
@@ -368,17 +368,17 @@
 
     Raises:
         OSError: The peer is unreachable.
-        TimeoutError: The handshake took longer than HELLO_TIMEOUT.
+        TimeoutError: The handshake took longer than HANDSHAKE_TIMEOUT.
         AuthenticationFailed: The peer does not know the key.
     """
     host, port = tcp_stream.split_address(address)
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(HELLO_TIMEOUT):
+    async with asyncio.timeout(HANDSHAKE_TIMEOUT):
         _, frames = await loop.create_connection(
             framing.FrameConnection, host, port
         )
         tcp_stream.set_user_timeout(frames.transport)
         connection = ClientConnection(frames, own_hello, key)
         connection.send_hello()
-        await connection.ready
+        await connection.handshake_done
     return connection
--- a/forklift/shell/peer_connections.py
+++ b/forklift/shell/peer_connections.py
@@ -17,7 +17,7 @@
 
 # Seconds that a request waits for a new connection, which takes milliseconds
 # within a region; after that, another target is tried.
-OPEN_WAIT = 0.25
+CONNECTION_TIMEOUT = 0.25
 
 
 class PeerConnections:
@@ -57,7 +57,7 @@
             return connection
         opening = self._start_opening(process)
         try:
-            async with asyncio.timeout(OPEN_WAIT):
+            async with asyncio.timeout(CONNECTION_TIMEOUT):
                 return await asyncio.shield(opening)
         except TimeoutError as error:
             now = self._clock.monotonic()
@@ -147,7 +147,7 @@
             self._mark_unreachable(process, "unreachable", now())
             detail = str(error) or type(error).__name__
             raise errors.PeerUnreachable(process, detail) from error
-        if connection.peer.name != process:
+        if connection.peer_hello.name != process:
             connection.close()
             self._mark_unreachable(process, "another answers", now())
             raise errors.PeerUnreachable(process, "another process answers")
--- a/forklift/shell/peer_server.py
+++ b/forklift/shell/peer_server.py
@@ -77,7 +77,7 @@
 
     Attributes:
         last_request_at: Loop time of the last request, seconds.
-        peer: Hello frame of the peer; None until it arrives.
+        peer_hello: Hello frame of the peer; None until it arrives.
         authenticated: Whether the peer has proved that it knows the key.
     """
 
@@ -105,7 +105,7 @@
         self._body_by_id: dict[int, exchange.BodyStream] = {}
         self._fence_tasks: set[asyncio.Task] = set()
         self.last_request_at = float("-inf")
-        self.peer: messages.Hello | None = None
+        self.peer_hello: messages.Hello | None = None
         self.authenticated = False
         frames.on_frame = self._handle_frame
         frames.on_lost = self._handle_lost
@@ -116,9 +116,9 @@
         return bool(self._task_by_id)
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes for the peer that are not yet in the kernel send buffer."""
-        return self._frames.unsent
+        return self._frames.unsent_bytes
 
     def send_keepalive(self) -> None:
         """Sends an unsolicited keep-alive if a request is in progress.
@@ -162,7 +162,7 @@
 
     def _handle_frame(self, frame: messages.Frame) -> None:
         if isinstance(frame, messages.Hello):
-            self.peer = frame
+            self.peer_hello = frame
             self._frames.send(
                 msgspec.structs.replace(
                     self._own_hello, compress=frame.compress
@@ -218,12 +218,12 @@
             self._frames.send(messages.FenceReply(fence.id, not_run))
 
     def _handle_proof(self, proof: messages.Proof) -> None:
-        if self.peer is None:
+        if self.peer_hello is None:
             raise messages.MalformedMessage(
                 "proof received before the hello frame"
             )
         expected = framing.compute_proof(
-            self._key, self.peer.nonce, self._own_hello.nonce
+            self._key, self.peer_hello.nonce, self._own_hello.nonce
         )
         if not hmac.compare_digest(expected, proof.digest):
             self._on_rejected()
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -49,14 +49,14 @@
 KEEPALIVE_INTERVAL = 0.2
 SLOW_TICK_INTERVAL = 0.5
 # Minimum seconds between two ticks that mean that the process was paused.
-PAUSE_THRESHOLD = 1.0
+MIN_PAUSE_SECONDS = 1.0
 # Peers that sent a request within these seconds are told at once when a target
 # is ejected. Others learn it when the target's process rejects their request.
-RECENT_SENDER_TIME = 3.0
+RECENT_SENDER_SECONDS = 3.0
 # Seconds without a request after which a target is announced as idle. Must
 # exceed the time within which an ingress process that has callers sends to an
 # idle target anyway.
-IDLE_TARGET_TIME = 1.2
+IDLE_TARGET_SECONDS = 1.2
 # States of targets that are announced when idle; a suspected one needs a trial
 # request.
 _IDLE_STATES = (
@@ -64,7 +64,7 @@
     messages.TargetState.SUSPECT,
 )
 # Seconds after its start at which a process is ready even if it found no peers.
-READY_WITHOUT_PEERS_AFTER = 3.0
+READY_WITHOUT_PEERS_SECONDS = 3.0
 
 
 class Proxy:
@@ -388,7 +388,7 @@
         age = self.clock.monotonic() - self._started_at
         return (
             self.control_protocols.has_joined
-            or age >= READY_WITHOUT_PEERS_AFTER
+            or age >= READY_WITHOUT_PEERS_SECONDS
         )
 
     def spawn(self, work) -> None:
@@ -415,7 +415,7 @@
     ) -> None:
         """Applies a catalog that was just activated."""
         if source != configuration_loader.STORE_SOURCE:
-            self.follower.on_newer_from_peer(self.clock.monotonic())
+            self.follower.handle_newer_peer_version(self.clock.monotonic())
         # Sends the version to peers at once.
         self.ticker.wake(0.0)
         self.target_registry.apply_catalog(activated)
@@ -464,7 +464,7 @@
         update = messages.LoadUpdate(controller.name, load)
         since = float("-inf")
         if not controller.closed:
-            since = asyncio.get_running_loop().time() - RECENT_SENDER_TIME
+            since = asyncio.get_running_loop().time() - RECENT_SENDER_SECONDS
         for connection in list(self.server_connections):
             connection.send_load_update(update, since)
         if controller.health.ejected:
@@ -519,7 +519,7 @@
             organisation=start.organisation,
         )
         ticket = admission.Ticket(
-            (connection.peer.boot, start.seq),
+            (connection.peer_hello.boot, start.seq),
             start.idempotent,
             start.priority,
             request.deadline,
@@ -557,7 +557,7 @@
             self._key,
             self._serve_peer,
             self._fence_request,
-            lambda: _log.warning("peer_refused", peer=frames.peer),
+            lambda: _log.warning("peer_refused", peer=frames.peer_address),
             self.forwarder.dispatcher.relay_fence,
         )
         on_lost = frames.on_lost
@@ -677,7 +677,7 @@
             usable = load.state in _IDLE_STATES
             if (
                 usable
-                and load.idle > IDLE_TARGET_TIME
+                and load.idle > IDLE_TARGET_SECONDS
                 and self.active_catalog.loaded
             ):
                 self.control_protocols.announce_idle_target(
@@ -702,7 +702,7 @@
         now = self.clock.monotonic()
         paused = now - self._last_tick
         self._last_tick = now
-        if paused < PAUSE_THRESHOLD:
+        if paused < MIN_PAUSE_SECONDS:
             return
         self.incarnation += 1
         _log.warning("paused", seconds=round(paused, 2))
--- a/forklift/shell/push_sockets.py
+++ b/forklift/shell/push_sockets.py
@@ -18,7 +18,7 @@
 # The least recently used push socket is closed above this number.
 MAX_SOCKETS = 96
 # Messages queued on one push socket.
-SEND_BUFFER = 64
+MAX_QUEUED_MESSAGES = 64
 # Seconds before a connection may be replaced: many times longer than connection
 # setup, and half of the time in which a configuration version must spread.
 MIN_CONNECTION_AGE = 1.0
@@ -122,7 +122,7 @@
         socket = self._socket_by_address.pop(address, None)
         if socket is None:
             socket = pynng.Push0(
-                send_buffer_size=SEND_BUFFER,
+                send_buffer_size=MAX_QUEUED_MESSAGES,
                 reconnect_time_min=50,
                 reconnect_time_max=2000,
             )
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -12,13 +12,13 @@
 # Seconds after SIGTERM during which new connections are still accepted. The
 # platform stops sending callers after two failed readiness checks, which are a
 # second apart.
-LAME_DUCK_TIME = 2.6
+LAME_DUCK_SECONDS = 2.6
 # Fraction of the grace period after which the process exits, even if requests
 # are still in flight.
-USABLE_GRACE = 0.9
+USABLE_GRACE_FRACTION = 0.9
 POLL_INTERVAL = 0.05
 # Seconds before the exit that are reserved for sending the last responses.
-FINAL_RESPONSE_TIME = 0.2
+FINAL_RESPONSE_SECONDS = 0.2
 # Maximum seconds to wait until the peers have received what is still in the
 # socket buffers and have closed their connections.
 PEER_CLOSE_TIMEOUT = 1.0
@@ -47,9 +47,11 @@
         now: Monotonic seconds.
         grace: Seconds after which the platform may kill the process.
     """
-    exit_at = now + USABLE_GRACE * grace
+    exit_at = now + USABLE_GRACE_FRACTION * grace
     return Deadlines(
-        exit_at - FINAL_RESPONSE_TIME, exit_at - FINAL_RESPONSE_TIME, exit_at
+        exit_at - FINAL_RESPONSE_SECONDS,
+        exit_at - FINAL_RESPONSE_SECONDS,
+        exit_at,
     )
 
 
@@ -82,7 +84,9 @@
         proxy: The process, whose shutdown was requested.
     """
     now = proxy.clock.monotonic()
-    lame_duck_end = now + min(LAME_DUCK_TIME, proxy.settings.platform.grace / 2)
+    lame_duck_end = now + min(
+        LAME_DUCK_SECONDS, proxy.settings.platform.grace / 2
+    )
     proxy.ingress.stopping = True
     _log.info("stopping", running=proxy.running())
     proxy.target_registry.pause_targets()
@@ -140,9 +144,11 @@
     """Waits for a short time until the writes to peers have been sent."""
     deadline = min(
         proxy.stop_deadlines.exit_at,
-        proxy.clock.monotonic() + FINAL_RESPONSE_TIME,
+        proxy.clock.monotonic() + FINAL_RESPONSE_SECONDS,
     )
-    while any(connection.unsent for connection in proxy.server_connections):
+    while any(
+        connection.unsent_bytes for connection in proxy.server_connections
+    ):
         if proxy.clock.monotonic() >= deadline:
             return
         await asyncio.sleep(POLL_INTERVAL)
--- a/forklift/shell/store_follower.py
+++ b/forklift/shell/store_follower.py
@@ -16,15 +16,15 @@
 # Mean duration of a long poll for a new configuration, in seconds. Every call
 # has a cost, so polls are long. A poll on a silently broken connection finds
 # out only when it ends: fewer readers poll more often, so that one of them
-# starts a new poll every WAIT_PER_PROCESS seconds and tells the others.
-MAX_WAIT = 9.0
-MIN_WAIT = 1.0
-WAIT_PER_PROCESS = 0.3
+# starts a new poll every POLL_SECONDS_PER_READER seconds and tells the others.
+MAX_POLL_SECONDS = 9.0
+MIN_POLL_SECONDS = 1.0
+POLL_SECONDS_PER_READER = 0.3
 # Relative jitter of a poll's duration, so that the polls don't end together.
-WAIT_JITTER = 1 / 3
+POLL_JITTER = 1 / 3
 # A new version ends the polls of all readers at once. To spread the next ones,
 # each reader shortens its poll to a random fraction, at least this one.
-MIN_WAIT_FRACTION = 0.02
+MIN_POLL_FRACTION = 0.02
 # Mean seconds between two reads of a process that is not a reader. Peers tell
 # it of new versions; this covers what no peer can tell.
 REFRESH_INTERVAL = 60.0
@@ -137,7 +137,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._read_now.wait(), seconds)
 
-    def on_newer_from_peer(self, now: float) -> None:
+    def handle_newer_peer_version(self, now: float) -> None:
         """Restarts the poll because a peer sent a version before the store.
 
         The poll may be on a silently broken connection, which would otherwise
@@ -185,11 +185,11 @@
 
     def _next_wait(self) -> float:
         """Duration of the next long poll, in seconds."""
-        mean = WAIT_PER_PROCESS * self._reader_count()
-        mean = min(MAX_WAIT, max(MIN_WAIT, mean))
-        wait = mean * self._rng.uniform(1 - WAIT_JITTER, 1 + WAIT_JITTER)
+        mean = POLL_SECONDS_PER_READER * self._reader_count()
+        mean = min(MAX_POLL_SECONDS, max(MIN_POLL_SECONDS, mean))
+        wait = mean * self._rng.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
         if self._ended_by_version:
-            wait *= self._rng.uniform(MIN_WAIT_FRACTION, 1.0)
+            wait *= self._rng.uniform(MIN_POLL_FRACTION, 1.0)
         return wait
 
     async def _read(self, position: int | None) -> interfaces.ConfigurationRead:
--- a/forklift/shell/tcp_stream.py
+++ b/forklift/shell/tcp_stream.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 # Bytes buffered before reading is paused.
-READ_LIMIT = 65_536
+MAX_READ_BUFFER_BYTES = 65_536
 # Longer than any request to a peer waits for its response.
 USER_TIMEOUT_MS = 8_000
 
@@ -30,7 +30,7 @@
     Attributes:
         on_lost: Called at the end of the input and when the connection closes.
         error: The exception that ended the connection, if any.
-        peer: IP address of the other side.
+        peer_ip: IP address of the other side.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.on_lost: Callable[[], None] | None = None
         self.error: Exception | None = None
         self.transport: asyncio.Transport | None = None
-        self.peer = ""
+        self.peer_ip = ""
 
     # Methods called by the event loop.
 
@@ -58,7 +58,7 @@
         """See `asyncio.Protocol`."""
         self.transport = transport
         name = transport.get_extra_info("peername")
-        self.peer = name[0] if name else ""
+        self.peer_ip = name[0] if name else ""
         if self._on_connect is not None:
             self._on_connect(self)
 
@@ -67,7 +67,10 @@
         if self._read_closed:
             return
         self._buffer += data
-        if len(self._buffer) > READ_LIMIT and not self._reading_paused:
+        if (
+            len(self._buffer) > MAX_READ_BUFFER_BYTES
+            and not self._reading_paused
+        ):
             self._reading_paused = True
             self.transport.pause_reading()
         self._wake_reader()
@@ -112,7 +115,7 @@
         return self._lost
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes written that are not yet in the kernel send buffer."""
         if self._lost or self.transport is None:
             return 0
--- a/forklift/shell/ticker.py
+++ b/forklift/shell/ticker.py
@@ -11,7 +11,7 @@
 # (overdue requests, expired waits, unreachable peers) span several ticks.
 BUSY_INTERVAL = 0.1
 # Seconds between two ticks while there is no work. Must stay well below
-# `proxy.PAUSE_THRESHOLD`, or an idle process takes itself for paused.
+# `proxy.MIN_PAUSE_SECONDS`, or an idle process takes itself for paused.
 IDLE_INTERVAL = 0.25
 
 
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -61,7 +61,7 @@
 SETTLES = 5.0
 # Seconds after which a process has given up a read of the store that is lost.
 GIVES_UP = (
-    store_follower.MAX_WAIT * (1 + store_follower.WAIT_JITTER)
+    store_follower.MAX_POLL_SECONDS * (1 + store_follower.POLL_JITTER)
     + store.LONG_POLL_MARGIN
 )
 # Versions whose route a configuration keeps, beside its own.
--- a/forklift_lab/troubles.py
+++ b/forklift_lab/troubles.py
@@ -338,7 +338,7 @@
 
 async def _unsettle(soak: soaks.Soak) -> None:
     """Targets are slow, and one is another, when a stop is about to end."""
-    await asyncio.sleep(shutdown.LAME_DUCK_TIME - ABOUT)
+    await asyncio.sleep(shutdown.LAME_DUCK_SECONDS - ABOUT)
     for place in soak.running.places:
         soak.target(place).script += ["slow"] * KEEPERS
     place = soak.rng.choice(soak.running.places)
@@ -348,7 +348,7 @@
 
 def _when(rng: random.Random) -> tuple[float, float]:
     """Seconds from a signal to a request, and between its two pieces."""
-    about = shutdown.LAME_DUCK_TIME
+    about = shutdown.LAME_DUCK_SECONDS
     kind = rng.choice(("any time", "about", "in pieces", "in pieces"))
     if kind == "any time":
         return rng.uniform(0.0, programs.GRACE), 0.0
--- a/test/test_control_channel.py
+++ b/test/test_control_channel.py
@@ -196,6 +196,6 @@
     receiver.verify("a", newest)
     with pytest.raises(messages.MalformedMessage):
         receiver.verify("a", old)
-    now[0] = authentication.MAX_AGE + 1.0
+    now[0] = authentication.MAX_AGE_SECONDS + 1.0
     with pytest.raises(messages.MalformedMessage):
         receiver.verify("a", sender.sign("a", b"of another time"))
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -36,7 +36,7 @@
 def quick(monkeypatch):
     """Shortens delays for the tests."""
     monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.05)
-    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_SECONDS", 0.2)
 
 
 def test_request_is_served_by_any_process():
@@ -239,7 +239,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         overtaken = []
-        one.follower.on_newer_from_peer = overtaken.append
+        one.follower.handle_newer_peer_version = overtaken.append
         one.configuration_loader.receive(
             json.dumps(processes.record(2)).encode(), "store"
         )
@@ -261,7 +261,7 @@
             for number in range(count):
                 one.directory.apply_direct(helper.info(f"other-{number}"), 0.0)
             waits.append(max(one.follower._next_wait() for _ in range(20)))
-        assert waits[0] < store_follower.MAX_WAIT / 2 < waits[1]
+        assert waits[0] < store_follower.MAX_POLL_SECONDS / 2 < waits[1]
 
     processes.play(work, [[]])
 
@@ -815,7 +815,7 @@
         note = other.record_work_request
 
         def heard(target, load, now):
-            announced.append((target, load.idle > proxy.IDLE_TARGET_TIME))
+            announced.append((target, load.idle > proxy.IDLE_TARGET_SECONDS))
             note(target, load, now)
 
         other.record_work_request = heard
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -32,7 +32,7 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Shortens pauses for tests."""
-    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_SECONDS", 0.2)
 
 
 def crash_on(fleet: processes.Fleet, text: bytes) -> None:
--- a/test/test_serve.py
+++ b/test/test_serve.py
@@ -30,7 +30,7 @@
             await serve.serve(settings.Settings(process, platform), "none")
 
     monkeypatch.setattr(proxy.Proxy, "start", start)
-    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_SECONDS", 0.2)
     monkeypatch.setattr(serve, "_freeze_startup_objects", lambda: None)
     before = signal.signal(signal.SIGTERM, lambda *_: unhandled.append(True))
     try:
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -22,7 +22,7 @@
 @pytest.fixture(autouse=True)
 def short_delays(monkeypatch):
     monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.05)
-    monkeypatch.setattr(shutdown, "LAME_DUCK_TIME", 0.2)
+    monkeypatch.setattr(shutdown, "LAME_DUCK_SECONDS", 0.2)
 
 
 def test_shutdown_waits_for_requests_in_flight():
@@ -71,7 +71,7 @@
 def test_requests_still_in_flight_at_the_deadline_are_answered(monkeypatch):
     """The status tells the callers whether their request may have run."""
     # Leaves the responses ample time to arrive before the exit.
-    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_TIME", 4.0)
+    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_SECONDS", 4.0)
 
     async def work(fleet):
         one = fleet.proxies[0]
@@ -111,7 +111,7 @@
     The platform may count the grace period from the first signal and kill the
     process right after it.
     """
-    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_TIME", 4.0)
+    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_SECONDS", 4.0)
 
     async def work(fleet):
         one = fleet.proxies[0]
@@ -150,7 +150,7 @@
     assert extended.reject_at == first.reject_at
     assert extended.resolve_at > first.resolve_at
     assert extended.exit_at == pytest.approx(
-        102.1 + shutdown.USABLE_GRACE * 6.0
+        102.1 + shutdown.USABLE_GRACE_FRACTION * 6.0
     )
 
 
@@ -392,17 +392,17 @@
 def test_data_written_to_peers_is_sent_before_the_exit(monkeypatch):
     """Data that is not in the socket buffer is lost with the connection."""
     polls = []
-    unsent = peer_server.ServerConnection.unsent
+    unsent = peer_server.ServerConnection.unsent_bytes
 
     def record_poll(served) -> int:
         polls.append(served)
         return unsent.fget(served)
 
     monkeypatch.setattr(
-        peer_server.ServerConnection, "unsent", property(record_poll)
+        peer_server.ServerConnection, "unsent_bytes", property(record_poll)
     )
     # The peer reads slowly; the timeout must not pass meanwhile.
-    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_TIME", 3.0)
+    monkeypatch.setattr(shutdown, "FINAL_RESPONSE_SECONDS", 3.0)
 
     async def work(fleet):
         peer, one = fleet.proxies
@@ -494,7 +494,7 @@
         sent = 10
         for _ in range(sent):
             server_connection._frames.send(update)
-        assert server_connection.unsent == 0
+        assert server_connection.unsent_bytes == 0
         finished = []
         finish = server_connection.half_close
         server_connection.half_close = lambda: finished.append(finish())
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -174,14 +174,18 @@
         )
         task = asyncio.create_task(follower.run())
         await helper.until(lambda: len(store.waits) == 1)
-        follower.on_newer_from_peer(100.0)
+        follower.handle_newer_peer_version(100.0)
         await helper.until(lambda: len(store.waits) == 2)
         assert follower.unavailable
-        follower.on_newer_from_peer(100.0 + store_follower.RESTART_INTERVAL / 2)
+        follower.handle_newer_peer_version(
+            100.0 + store_follower.RESTART_INTERVAL / 2
+        )
         for _ in range(100):
             await asyncio.sleep(0)
         assert len(store.waits) == 2
-        follower.on_newer_from_peer(100.0 + store_follower.RESTART_INTERVAL)
+        follower.handle_newer_peer_version(
+            100.0 + store_follower.RESTART_INTERVAL
+        )
         await helper.until(lambda: len(store.waits) == 3)
         task.cancel()
 
@@ -203,11 +207,12 @@
         return store.waits[0]
 
     waits = [helper.run(first_wait(count)) for count in range(20)]
-    longest = store_follower.MAX_WAIT * (1 + store_follower.WAIT_JITTER)
+    longest = store_follower.MAX_POLL_SECONDS * (1 + store_follower.POLL_JITTER)
     assert max(waits) <= longest
     mean = sum(waits) / len(waits)
     assert mean / processes <= 1.1 * max(
-        store_follower.WAIT_PER_PROCESS, store_follower.MIN_WAIT / processes
+        store_follower.POLL_SECONDS_PER_READER,
+        store_follower.MIN_POLL_SECONDS / processes,
     )
 
 
