--- a/forklift/shell/rate_limiting.py
+++ b/forklift/shell/rate_limiting.py
@@ -1,6 +1,7 @@
 """Applies the rate limits of organisations to the requests of this process.
 
-A request beyond the leases of the process waits for a token of the allocator.
+If the process has no token left for a request, the request waits for a token
+from the allocator.
 """
 
 import asyncio
@@ -21,13 +22,14 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds until an unanswered request for tokens is sent again, and seconds from
-# then until the waiting request is rejected. Each is several round trips to any
-# process.
-ASK_RETRY_DELAY = 0.03
-ASK_TIMEOUT = 0.05
-# Retry-After if the allocator did not answer, and the minimum, seconds.
+# Seconds after which an unanswered request for tokens is sent again.
+TOKEN_RETRY_SECONDS = 0.03
+# Seconds after the second request for tokens until the waiting requests are
+# rejected.
+TOKEN_TIMEOUT_SECONDS = 0.05
+# Retry-After if the allocator did not answer, seconds.
 DEFAULT_RETRY_AFTER = 0.5
+# Minimum of Retry-After before jitter is added, seconds.
 MIN_RETRY_AFTER = 0.1
 
 MESSAGE_TYPES = (
@@ -41,7 +43,7 @@
     """Runs a `limiter.Limiter`: sends its messages and queues requests.
 
     Attributes:
-        limiter: Decides, and keeps the leases.
+        limiter: Holds the leases and decides whether to admit requests.
     """
 
     def __init__(
@@ -60,11 +62,11 @@
             directory: The members of the fleet.
             bounds: Permitted overshoot of the limits.
             active_catalog: Holds the organisations and their limits.
-            fleet_size_known: Whether this process knows the number of
+            fleet_size_known: Returns whether this process knows the number of
                 processes.
             send: Sends a message to the process at an address.
             clock: Clock of the process.
-            rng: Adds jitter to Retry-After.
+            rng: Source of the jitter that is added to Retry-After.
         """
         self.limiter = limiters.Limiter(
             directory,
@@ -78,13 +80,15 @@
         self._send_to = send
         self._clock = clock
         self._rng = rng
+        # Futures of the requests that wait for a token, in order of arrival.
         self._waiting_by_organisation: dict[str, collections.deque] = {}
 
     async def admit(self, organisation: str) -> float | None:
-        """Admits a request of an organisation or rejects it.
+        """Decides whether to admit a request; may wait for the allocator.
 
         Args:
-            organisation: Name of the organisation; empty for none.
+            organisation: Name of the calling organisation; empty if the caller
+                is anonymous.
 
         Returns:
             None if the request is admitted, else seconds until a retry.
@@ -95,19 +99,19 @@
         result = self.limiter.quota.admit(organisation, now)
         if result.decision is local_quota.Decision.ADMIT:
             return None
-        wait = result.retry_after
+        retry_after = result.retry_after
         if result.decision is local_quota.Decision.ASK_ALLOCATOR:
-            wait = await self._wait_for_token(organisation)
-            self.limiter.quota.record_outcome(organisation, wait is None)
-        if wait is None:
+            retry_after = await self._wait_for_token(organisation)
+            self.limiter.quota.record_outcome(organisation, retry_after is None)
+        if retry_after is None:
             return None
         # The jitter spreads the retries of requests rejected at the same time.
-        return max(MIN_RETRY_AFTER, wait) * (1 + self._rng.random())
+        return max(MIN_RETRY_AFTER, retry_after) * (1 + self._rng.random())
 
     def log_rejection(
-        self, request_id: str, organisation: str, wait: float
+        self, request_id: str, organisation: str, retry_after: float
     ) -> None:
-        """Logs a rejected request and the state of its limit."""
+        """Logs a rejected request and the state of its organisation's limit."""
         now = self._clock.monotonic()
         current = self._active_catalog.catalog
         limit = current.organisation(organisation)
@@ -120,7 +124,7 @@
             part=round(quota.leased_share(organisation, now), 4),
             allocator=self.limiter.allocator_of(organisation),
             heard=quota.seconds_since_allocation(organisation, now),
-            wait=round(wait, 2),
+            wait=round(retry_after, 2),
             version=current.version,
         )
 
@@ -131,18 +135,18 @@
             self.limiter.quota.refund(organisation, now)
 
     def tick(self, now: float) -> None:
-        """Sends the messages that are due."""
+        """Sends the limiter's messages that are due."""
         self._send(self.limiter.tick(now))
 
     def receive(self, message: messages.Control) -> None:
-        """Handles a message of another process about limits."""
+        """Handles a message of another process about rate limits."""
         self._send(self.limiter.receive(message, self._clock.monotonic()))
 
     async def _wait_for_token(self, organisation: str) -> float | None:
-        """Waits for the allocator's answer.
+        """Waits for a token from the allocator.
 
         Returns:
-            None if it grants a token, else seconds until a retry.
+            None if a token is granted, else seconds until a retry.
         """
         answer = asyncio.get_running_loop().create_future()
         waiting = self._waiting_by_organisation.setdefault(
@@ -150,20 +154,23 @@
         )
         waiting.append(answer)
         if len(waiting) == 1:
-            # One message asks for all requests of this event loop iteration.
-            asyncio.get_running_loop().call_soon(self._ask, organisation)
+            # One message asks for the tokens of all requests that arrive in
+            # this event loop iteration.
+            asyncio.get_running_loop().call_soon(
+                self._request_tokens, organisation
+            )
         try:
-            for seconds in (ASK_RETRY_DELAY, ASK_TIMEOUT):
+            for seconds in (TOKEN_RETRY_SECONDS, TOKEN_TIMEOUT_SECONDS):
                 done, _ = await asyncio.wait([answer], timeout=seconds)
                 if done:
                     return answer.result()
-                self._ask(organisation)
+                self._request_tokens(organisation)
             return DEFAULT_RETRY_AFTER
         finally:
             if answer in waiting:
                 waiting.remove(answer)
 
-    def _ask(self, organisation: str) -> None:
+    def _request_tokens(self, organisation: str) -> None:
         waiting = self._waiting_by_organisation.get(organisation)
         if waiting:
             now = self._clock.monotonic()
@@ -172,7 +179,10 @@
             )
 
     def _on_tokens(self, grant: limit_messages.TokenGrant) -> None:
-        """Admits requests in order; rejects the rest if tokens ran out."""
+        """Admits waiting requests in order, one for each granted token.
+
+        If the allocator has no more tokens, the other requests are rejected.
+        """
         waiting = self._waiting_by_organisation.get(grant.organisation)
         if waiting is None:
             return
@@ -185,8 +195,8 @@
             del self._waiting_by_organisation[grant.organisation]
 
     def _send(self, sends: list[limiters.Send]) -> None:
-        for one in sends:
-            self._send_to(one.address, one.message)
+        for send in sends:
+            self._send_to(send.address, send.message)
 
 
 def _set_result(future: asyncio.Future, value: float | None) -> None:
