--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -28,7 +28,7 @@
     """Request to the admin interface.
 
     Attributes:
-        name: Name in the path; empty if the path of the handler has none.
+        name: Name of the target in the URL; empty if the URL contains none.
         query: Parameters of the query string.
         body: Body of the request.
     """
@@ -40,15 +40,15 @@
 
 Handler = Callable[["AdminServer", AdminRequest], Awaitable[server.Response]]
 handler_by_route: dict[tuple[str, str], Handler] = {}
-# Scrapers and health checks read these without a key.
+# Paths that need no key, for scrapers and health checks.
 _PUBLIC_PATHS = ("healthz", "readyz", "metrics")
 
 
 def handles(method: str, path: str) -> Callable[[Handler], Handler]:
     """Registers a handler for a method and a path.
 
-    A name follows the first slash of the path: `targets/drain` handles requests
-    to `/targets/NAME/drain`, and `targets/` those to `/targets/NAME`.
+    The first slash in `path` stands for a name: `targets/drain` registers a
+    handler for `/targets/NAME/drain`, and `targets/` one for `/targets/NAME`.
     """
 
     def register(handler: Handler) -> Handler:
@@ -62,9 +62,9 @@
     """Admin server of one process.
 
     Attributes:
-        proxy: The process.
-        on_stop_requested: Called when an operator drains the process.
-        rejected: Number of requests without a valid key.
+        proxy: The proxy process that the server reports on and controls.
+        on_stop_requested: Called when an operator requests a shutdown.
+        rejected: Number of requests rejected for a missing or wrong key.
         telemetry: Metrics of the process; None before the first scrape.
     """
 
@@ -110,7 +110,7 @@
             )
         if path not in _PUBLIC_PATHS and not self._is_authorized(request):
             self.rejected += 1
-            _log.warning("admin_refused", call=path)
+            _log.warning("admin_request_rejected", call=path)
             return error_response(
                 401, "the key is missing or wrong; pass the [process] key"
             )
@@ -130,7 +130,7 @@
 
 
 def _match_path(method: str, path: str) -> tuple[str, str]:
-    """Returns the registered path that matches a path, and the name in it.
+    """Returns the registered path for the path of a URL, and the name in it.
 
     >>> _match_path("POST", "/targets/releves-1")
     ('targets/', 'releves-1')
@@ -202,7 +202,7 @@
 async def explain_target(
     admin: AdminServer, request: AdminRequest
 ) -> server.Response:
-    """Returns the state and the recent ejections of a target of the process."""
+    """Returns the state and recent ejections of a target of the process."""
     name = admin.proxy.target_registry.find(request.name)
     found = reports.explain_target(admin.proxy, name or request.name)
     if found is None:
