--- a/forklift/shell/client.py
+++ b/forklift/shell/client.py
@@ -14,7 +14,7 @@
     """No complete response arrived.
 
     Attributes:
-        sent: Whether the request may have taken effect.
+        sent: Whether the request may have reached the server.
     """
 
     def __init__(self, detail: str, sent: bool):
@@ -38,7 +38,11 @@
 
 
 class Client:
-    """A client of one address that reuses its connections."""
+    """An HTTP client of one server that reuses idle connections.
+
+    Attributes:
+        address: Address of the server, "ip:port".
+    """
 
     def __init__(self, address: str):
         self.address = address
@@ -55,7 +59,7 @@
         timeout: float = 10.0,
         host: str = "",
     ) -> Response:
-        """Sends one request.
+        """Sends one request and returns the response.
 
         Args:
             method: HTTP method.
@@ -94,7 +98,7 @@
         return response
 
     def close(self) -> None:
-        """Closes idle connections."""
+        """Closes the idle connections."""
         while self._idle:
             self._idle.pop()[0].abort()
 
@@ -153,4 +157,7 @@
                 headers = http.fields(head)
                 return Response(head.status_code, headers, bytes(body))
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionError("closed before the response was complete")
+                raise ConnectionError(
+                    "the server closed the connection before the response "
+                    "was complete"
+                )
--- a/forklift/shell/exchange.py
+++ b/forklift/shell/exchange.py
@@ -1,6 +1,6 @@
-"""Requests and responses on their way through a process.
+"""Requests, bodies and responses while a process handles them.
 
-They look the same whether they come from a caller, a peer or a target.
+The same types serve for callers, peers and targets.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 from forklift import messages
 from forklift.shell import http
 
-# Bodies of up to this size are read completely before the request is forwarded
-# and can be sent more than once, bytes.
+# Maximum size in bytes of a body that is read completely before its request is
+# forwarded. Such a body can be sent more than once.
 MAX_INLINE_BYTES = 16_384
 
 
@@ -27,7 +27,12 @@
 
 
 class Body:
-    """The body of a request: a prefix and a stream of the rest."""
+    """The body of a request: a prefix and a stream of the rest.
+
+    Attributes:
+        prefix: The first bytes of the body, or the whole body.
+        consumed: Whether reading of the rest has begun.
+    """
 
     def __init__(
         self,
@@ -76,14 +81,15 @@
         headers: End-to-end header fields.
         length: Length of the body, bytes; -1 if it is chunked.
         body: The body.
-        deadline: Monotonic seconds.
+        deadline: Monotonic time at which the request times out, seconds.
         idempotent: Whether the request may safely run more than once.
         origin: Service on the instance that received the request.
         priority: Priority; 0 is the most urgent.
-        soft_deadline: Monotonic seconds until which the latency objective of
-            the route is met.
+        soft_deadline: Monotonic time until which a response meets the latency
+            objective of the route, seconds.
         max_attempts: Maximum number of targets that the request is sent to.
-        fingerprint: Fingerprint of the request; equal if it is sent again.
+        fingerprint: Hash by which repetitions of the same request are
+            recognized.
         organisation: Name of the calling organisation; empty if the route
             allows anonymous callers and the request has no key.
     """
@@ -109,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Head:
-    """Status and header fields of a response.
+    """Head of a response: status and header fields.
 
     Attributes:
         status: HTTP status.
@@ -127,11 +133,11 @@
 
 
 class Sink(Protocol):
-    """Receives a response: a caller or the peer that sent the request."""
+    """Receiver of a response: a caller, or the peer that sent the request."""
 
     @property
     def has_started(self) -> bool:
-        """Whether a head was passed on; no other response can follow then."""
+        """Whether a head was passed on; no other response can follow it."""
 
     async def start(self, head: Head) -> None:
         """Passes the head on."""
@@ -145,14 +151,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ending:
-    """How one attempt ended.
+    """How a request, or one attempt of it, ended.
 
     Attributes:
         outcome: Whether the request was answered, did not run, or may have run.
         reason: Why there is no response; None if there is one.
         status: HTTP status; 0 if there is no response.
-        retry_after: Seconds until a retry may succeed, as the target's process
-            suggests.
+        retry_after: Seconds until a retry may succeed; 0 if there is no
+            estimate.
     """
 
     outcome: messages.Outcome
@@ -163,10 +169,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """How one attempt ended, and the target that it was sent to.
+    """How a request, or one attempt of it, ended and which target responded.
 
     Attributes:
-        ending: How it ended.
+        ending: Outcome, reason and status.
         load: Load of the target, if known.
         target: Name of the target; empty if none responded.
     """
@@ -206,20 +212,29 @@
 class BodyStream:
     """A stream of body chunks from a producer to one consumer.
 
-    Flow control bounds the buffer: `on_consumed` grants the producer credit for
-    the bytes that the consumer took.
+    Flow control bounds the buffer: the producer sends more only after the
+    consumer has read what was sent.
+
+    Attributes:
+        buffered_bytes: Number of bytes that the consumer has not read yet.
     """
 
     def __init__(self, on_consumed: Callable[[int], None]):
+        """Creates an empty stream.
+
+        Args:
+            on_consumed: Called with the number of bytes of each chunk that was
+                consumed, to grant the producer as much credit.
+        """
         self._on_consumed = on_consumed
         self._chunks: list[bytes] = []
         self._ended = False
-        self._failure = ""
+        self._failure_detail = ""
         self._changed = asyncio.Event()
         self.buffered_bytes = 0
 
     def feed(self, chunk: bytes, end: bool) -> None:
-        """Appends a chunk; `end` marks the last one."""
+        """Appends a chunk, which may be empty; `end` marks the last one."""
         if chunk:
             self._chunks.append(chunk)
             self.buffered_bytes += len(chunk)
@@ -227,9 +242,9 @@
         self._changed.set()
 
     def fail(self, detail: str) -> None:
-        """Marks the stream as broken, unless it has ended."""
+        """Ends the stream with an error, unless it has ended already."""
         if not self._ended:
-            self._failure = detail
+            self._failure_detail = detail
         self._changed.set()
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
@@ -246,7 +261,7 @@
                 self._on_consumed(len(chunk))
             if self._ended:
                 return
-            if self._failure:
-                raise IncompleteBody(self._failure)
+            if self._failure_detail:
+                raise IncompleteBody(self._failure_detail)
             self._changed.clear()
             await self._changed.wait()
--- a/forklift/shell/http.py
+++ b/forklift/shell/http.py
@@ -1,4 +1,4 @@
-"""HTTP helpers for both sides, callers and targets, and problem documents."""
+"""HTTP helpers for connections to callers and targets; problem documents."""
 
 import dataclasses
 import re
@@ -13,11 +13,13 @@
 
 PROBLEM_MEDIA_TYPE = b"application/problem+json"
 END_OF_HEAD = b"\r\n\r\n"
-# Statuses of problem responses that carry Retry-After; the request did not run.
+# Problem responses with these statuses carry Retry-After and are sent only if
+# the request did not run.
 SERVICE_UNAVAILABLE = 503
 TOO_MANY_REQUESTS = 429
 
-# Hop-by-hop fields (RFC 9110 section 7.6.1) and those that frame a message.
+# Hop-by-hop fields (RFC 9110 section 7.6.1), and other fields that are not
+# forwarded.
 _HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -109,11 +111,17 @@
 def problem(
     outcome: messages.Outcome, reason: messages.Reason, request_id: str
 ) -> Problem:
-    """Describes a request without a complete response of a target."""
+    """Returns the problem document for a request that was not answered.
+
+    Args:
+        outcome: `NOT_RUN` or `UNKNOWN`.
+        reason: Why no target answered.
+        request_id: Request ID.
+    """
     unknown = outcome is messages.Outcome.UNKNOWN
     text = _TEXT_BY_REASON.get(reason, _UNKNOWN if unknown else _NOT_RUN)
     if unknown and text.status == SERVICE_UNAVAILABLE:
-        # 503 with Retry-After is only for requests that did not run.
+        # 503 with Retry-After means that the request did not run.
         text = _UNKNOWN
     return Problem(
         f"urn:forklift:{reason}",
@@ -194,21 +202,24 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Drops hop-by-hop fields and those that the Connection header names."""
-    listed: set[bytes] = set()
+    """Returns the fields to forward.
+
+    Hop-by-hop fields and those that the Connection header lists are dropped.
+    """
+    connection_options: set[bytes] = set()
     for name, field_value in headers:
         if name == b"connection":
             options = field_value.lower().split(b",")
-            listed.update(option.strip() for option in options)
+            connection_options.update(option.strip() for option in options)
     return tuple(
         (name, field_value)
         for name, field_value in headers
-        if name not in _HOP_BY_HOP and name not in listed
+        if name not in _HOP_BY_HOP and name not in connection_options
     )
 
 
 def content_length(headers: Headers) -> int:
-    """Declared length of a request body, bytes; -1 if it is chunked."""
+    """Returns the length of a request body, bytes; -1 if it is chunked."""
     if value(headers, b"transfer-encoding") is not None:
         return -1
     declared = value(headers, b"content-length")
@@ -216,5 +227,5 @@
 
 
 def has_connection_header(headers: list[tuple[bytes, bytes]]) -> bool:
-    """Whether there is a Connection header."""
+    """Returns whether there is a Connection header."""
     return any(name == b"connection" for name, _ in headers)
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -1,7 +1,7 @@
 """The HTTP/1.1 server for callers.
 
 Pipelined requests run concurrently and are answered in order. Each request has
-its own parser; the bytes that it leaves over are given to the next one.
+its own h11 parser. Bytes that follow a request are passed to the next parser.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 Reason = messages.Reason
 Outcome = messages.Outcome
 
-# Maximum number of concurrent requests of one connection.
+# Maximum number of concurrent requests on one connection.
 MAX_PIPELINED = 32
 # Seconds for which a caller may keep the connection open after the last
 # response.
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class RouteMatch:
-    """The route of a request.
+    """The route and the service that were selected for a request.
 
     Attributes:
-        route: The route.
-        service: The service selected from those of the route.
+        route: The matching route.
+        service: Name of the service, one of the services of the route.
         organisation: The calling organisation; None for an anonymous caller.
     """
 
@@ -65,19 +65,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Hooks:
-    """The interface of the ingress to its process.
+    """Functions and header names that the process provides to the ingress.
 
     Attributes:
-        header_names: Names of header fields.
+        header_names: Names of the header fields that forklift interprets.
         limits: Returns the current limits for callers.
-        find_route: Finds the route for a host, a path and the keys of the
-            caller; None if there is none. Raises
+        find_route: Returns the match for a host, a path and the keys of the
+            caller, or None if no route matches. Raises
             `organisations.UnknownCaller`.
-        is_configured: Whether a configuration is loaded.
-        handle: Runs a request.
-        next_seq: Returns the sequence number of the next request.
-        on_result: Called with each request that ended, its result and its
-            duration in seconds.
+        is_configured: Returns whether a configuration is loaded.
+        handle: Runs a request and passes its response to the sink.
+        next_seq: Returns the sequence number for a new request.
+        on_result: Called at the end of each request with the request, its
+            result and its duration in seconds.
         origin_service: Returns the name of the service on this instance.
         on_rejected: Called with the reason for each request that is rejected
             before it runs.
@@ -98,10 +98,11 @@
     """Accepts connections of callers and reads their requests.
 
     Attributes:
-        hooks: The interface to the process.
-        stopping: Whether the process is shutting down; each connection then
-            closes after the requests that were read.
-        closed: Whether new connections are closed at once.
+        hooks: Functions and header names that the process provides.
+        clock: Clock of the process.
+        stopping: Whether the process is shutting down. Each connection then
+            closes after the responses to the requests that were read.
+        closed: Whether new connections are closed without a response.
         running: Number of requests in progress.
         rejected: Number of rejected connections and malformed requests.
     """
@@ -126,7 +127,7 @@
     def accept(self, connection: tcp_stream.Connection) -> None:
         """Serves a new connection, or rejects it if there are too many."""
         if self.closed:
-            # The process ends and could not respond.
+            # The process is about to exit and may be unable to respond.
             connection.close()
             return
         if len(self._sessions) >= self._max_connections:
@@ -146,7 +147,7 @@
             session.enforce_timeouts(limits, now)
 
     def close_idle(self) -> None:
-        """Closes connections without a request or an unsent response."""
+        """Closes connections with neither a request nor an unsent response."""
         for session in list(self._sessions):
             session.close_if_idle()
 
@@ -156,7 +157,7 @@
         return sum(1 for session in self._sessions if session.is_pending)
 
     def reject_incomplete_requests(self) -> None:
-        """Rejects requests that have not arrived completely."""
+        """Rejects requests that have been received only in part."""
         for session in list(self._sessions):
             session.reject_incomplete_request()
 
@@ -178,28 +179,34 @@
         )
         self._writers: list[response_writer.ResponseWriter] = []
         self._tasks: set[asyncio.Task] = set()
+        # Bytes that were received after the last parsed request.
         self._unparsed = b""
-        # Whether a request has arrived in part.
+        # Whether a request has been received only in part.
         self._request_incomplete = False
         self._keep_alive = True
-        # Monotonic seconds at which the connection became idle and at which an
-        # incomplete head began; None otherwise.
+        # Monotonic time at which the connection became idle, seconds; None if
+        # it is not idle.
         self._idle_since: float | None = self._clock.monotonic()
+        # Monotonic time at which an incomplete head began to arrive, seconds;
+        # None if there is no incomplete head.
         self._head_started_at: float | None = None
 
-    # Methods for the ingress.
+    # Methods that the ingress calls.
 
     def enforce_timeouts(
         self, limits: catalogs.CallerLimits, now: float
     ) -> None:
-        """Closes the connection if it was idle or a head is overdue."""
-        head, idle = self._head_started_at, self._idle_since
-        if head is not None and now - head > limits.head_timeout:
+        """Ends the connection after a head timeout or an idle timeout."""
+        head_started_at, idle_since = self._head_started_at, self._idle_since
+        if (
+            head_started_at is not None
+            and now - head_started_at > limits.head_timeout
+        ):
             self._head_started_at = None
             self.connection.interrupt(_head_timeout_error())
         elif (
-            idle is not None
-            and now - idle > limits.idle_timeout
+            idle_since is not None
+            and now - idle_since > limits.idle_timeout
             and not self._has_unanswered
         ):
             self.connection.close()
@@ -210,7 +217,7 @@
             self.connection.close()
 
     def reject_incomplete_request(self) -> None:
-        """Rejects a request that has arrived in part; it did not run."""
+        """Rejects a partially received request, which has not run."""
         if self._request_incomplete:
             self.connection.interrupt(_incomplete_request_error())
 
@@ -232,7 +239,7 @@
         unread = self._unparsed or self.connection.buffered
         return self._request_incomplete or bool(unread)
 
-    # Connection.
+    # Lifecycle of the connection.
 
     async def run(self) -> None:
         """Serves requests until the connection ends."""
@@ -272,7 +279,8 @@
     def is_last(self, writer: response_writer.ResponseWriter) -> bool:
         """Whether the connection closes after a response.
 
-        During shutdown it does, unless another request has begun to arrive.
+        During shutdown, the connection closes unless another request has begun
+        to arrive.
         """
         if self._writers and self._writers[-1] is not writer:
             return False
@@ -293,9 +301,10 @@
     def _accepts_next(self) -> bool:
         """Whether another request is accepted.
 
-        During shutdown none is accepted if the previous response can still
-        announce that the connection closes. Otherwise a caller that pipelines
-        continuously would delay the shutdown until its time limit.
+        During shutdown no request is accepted if the previous response can
+        still announce that the connection closes. Without this rule, a caller
+        that pipelines continuously could keep its connection open until the
+        shutdown deadline.
         """
         if self._ingress.stopping and self._writers:
             self._keep_alive = (
@@ -309,7 +318,7 @@
             await asyncio.wait(self._tasks)
 
     async def _close_gracefully(self) -> None:
-        """Closes once the caller has received everything, or stalls."""
+        """Closes after the caller received all responses, or on a timeout."""
         # Input after the last request is discarded.
         self._unparsed, self._request_incomplete = b"", False
         self.connection.half_close()
@@ -324,7 +333,7 @@
                 self.connection.abort()
 
     def _cancel_all(self) -> None:
-        """Cancels all requests, as the caller disconnected."""
+        """Cancels all requests after the caller has disconnected."""
         self._keep_alive = False
         for task in list(self._tasks):
             task.cancel()
@@ -342,9 +351,15 @@
             # The previous response announces that the connection closes.
             return False
         http.check_request(event)
-        previous = self._writers[-1].finished if self._writers else None
+        previous_finished = (
+            self._writers[-1].finished if self._writers else None
+        )
         writer = response_writer.ResponseWriter(
-            self.connection, self.is_last, protocol, event.method, previous
+            self.connection,
+            self.is_last,
+            protocol,
+            event.method,
+            previous_finished,
         )
         self._writers.append(writer)
         self._idle_since = None
@@ -407,15 +422,19 @@
                 "the head is too large", "send fewer headers", 431
             )
 
-    # Request.
+    # Requests and responses.
 
     def _build_request(
         self, event: h11.Request, body: exchange.Body
     ) -> tuple[exchange.Request | None, Reason | None]:
-        """Builds the request, or returns the reason to reject it.
+        """Builds the request, or finds a reason to reject it.
+
+        Returns:
+            The request and None, or None and the reason to reject it.
 
         Raises:
-            errors.BadRequest: The deadline of the caller is not a number.
+            errors.BadRequest: The timeout that the caller sent is not an
+                integer.
         """
         headers = http.fields(event)
         names = self._hooks.header_names
@@ -467,15 +486,15 @@
         organisation: str,
     ) -> bytes:
         names = self._hooks.header_names.credentials
-        caller = tuple(http.value(headers, name) or b"" for name in names)
+        identity = tuple(http.value(headers, name) or b"" for name in names)
         if organisation:
             # All keys of an organisation identify the same caller.
-            caller += (organisation.encode(),)
+            identity += (organisation.encode(),)
         return fingerprint.compute(
             event.method,
             http.value(headers, b"host") or b"",
             event.target,
-            caller,
+            identity,
             len(body.prefix) if body.complete else http.content_length(headers),
             body.prefix[: exchange.MAX_INLINE_BYTES],
         )
@@ -512,7 +531,7 @@
                 self.connection.half_close()
 
     def _abort(self) -> None:
-        """Aborts the connection, so that the response is visibly incomplete."""
+        """Aborts the connection, so that the caller detects the failure."""
         self._keep_alive = False
         self.connection.abort()
 
@@ -540,8 +559,8 @@
         problem = http.problem(ending.outcome, reason, request_id)
         headers = [(b"content-type", http.PROBLEM_MEDIA_TYPE)]
         if problem.status in (http.SERVICE_UNAVAILABLE, http.TOO_MANY_REQUESTS):
-            wait = max(MIN_RETRY_AFTER, ending.retry_after)
-            headers.append((b"retry-after", f"{wait:.2f}".encode()))
+            seconds = max(MIN_RETRY_AFTER, ending.retry_after)
+            headers.append((b"retry-after", f"{seconds:.2f}".encode()))
         if writer.protocol.their_state is not h11.DONE:
             self._keep_alive = False
         body = http.encode_problem(problem)
@@ -550,10 +569,8 @@
         await writer.data(body)
         await writer.end()
 
-    # Malformed requests.
-
     def _reject(self, error: errors.BadRequest) -> None:
-        """Writes the problem response to a malformed request."""
+        """Responds to a malformed request with a problem document."""
         if not self._keep_alive:
             return
         self._ingress.rejected += 1
@@ -570,13 +587,13 @@
             self._ingress.new_request_id(),
         )
         body = http.encode_problem(problem)
-        retry_after = ""
+        retry_after_line = ""
         if error.status == http.SERVICE_UNAVAILABLE:
-            retry_after = f"retry-after: {DEFAULT_RETRY_AFTER:.2f}\r\n"
+            retry_after_line = f"retry-after: {DEFAULT_RETRY_AFTER:.2f}\r\n"
         head = (
             f"HTTP/1.1 {error.status} Refused\r\n"
             f"content-type: {http.PROBLEM_MEDIA_TYPE.decode()}\r\n"
-            f"content-length: {len(body)}\r\n{retry_after}"
+            f"content-length: {len(body)}\r\n{retry_after_line}"
             "connection: close\r\n\r\n"
         )
         try:
@@ -588,8 +605,9 @@
             )
 
 
-# Minimum of Retry-After, and its value if no better one is known, seconds.
+# Minimum of Retry-After, seconds.
 MIN_RETRY_AFTER = 0.1
+# Retry-After of requests that the ingress itself rejects, seconds.
 DEFAULT_RETRY_AFTER = 0.5
 
 
@@ -608,13 +626,13 @@
 def _forwarded_headers(
     headers: http.Headers, names: header_fields.HeaderNames
 ) -> http.Headers:
-    """Drops hop-by-hop fields and those that forklift sets itself."""
-    ours = names.reserved
-    return tuple(h for h in http.end_to_end(headers) if h[0] not in ours)
+    """Returns the end-to-end fields, without those that forklift sets."""
+    reserved = names.reserved
+    return tuple(h for h in http.end_to_end(headers) if h[0] not in reserved)
 
 
 def _timeout(headers: http.Headers, name: bytes, maximum: float) -> float:
-    """Seconds until the deadline: the caller's, up to that of the route."""
+    """Returns the caller's timeout in seconds, limited to `maximum`."""
     value = http.value(headers, name)
     if value is None:
         return maximum
--- a/forklift/shell/logs.py
+++ b/forklift/shell/logs.py
@@ -11,14 +11,15 @@
 
 import structlog
 
-# Limit of lines below the level of warnings.
+# Limit of debug and info lines.
 MAX_LINES_PER_SECOND = 50
 # Limit of warnings and errors.
 MAX_WARNINGS_PER_SECOND = 50
-# Output buffered while the pipe is full, in bytes.
+# Maximum size of the output that is buffered while the pipe is full.
 MAX_BUFFERED_BYTES = 262_144
 _WARNING_METHODS = ("warning", "error", "critical")
 
+# Number of dropped lines by event name.
 dropped_by_event: collections.Counter[str] = collections.Counter()
 
 
@@ -124,6 +125,9 @@
 
     Args:
         level: Lowest level that is logged, a constant of `logging`.
+
+    Returns:
+        The writer of all loggers.
     """
     writer = NonBlockingWriter(1)
     structlog.configure(
--- a/forklift/shell/reports.py
+++ b/forklift/shell/reports.py
@@ -5,7 +5,8 @@
 from forklift import report
 from forklift.shell import local_targets
 
-# A state dump lists the busiest organisations by name and sums up the others.
+# Maximum number of organisations that a state dump lists by name. The others,
+# which have the fewest requests, are summed up without a name.
 MAX_LISTED_ORGANISATIONS = 20
 
 
@@ -43,7 +44,7 @@
         proxy.running(),
         proxy.ingress.connections,
         proxy.incarnation,
-        _quarantined(proxy),
+        _quarantine_seconds_by_fingerprint(proxy),
         {"calls": proxy.store.calls, "failures": proxy.store.failures},
         _organisation_usages(proxy),
     )
@@ -66,17 +67,17 @@
             )
         )
     usages.sort(key=lambda usage: (-usage.admitted - usage.refused, usage.name))
-    rest = usages[MAX_LISTED_ORGANISATIONS:]
-    if rest:
-        admitted = sum(usage.admitted for usage in rest)
-        refused = sum(usage.refused for usage in rest)
+    unlisted = usages[MAX_LISTED_ORGANISATIONS:]
+    if unlisted:
+        admitted = sum(usage.admitted for usage in unlisted)
+        refused = sum(usage.refused for usage in unlisted)
         usages[MAX_LISTED_ORGANISATIONS:] = [
             report.OrganisationUsage("", admitted, refused)
         ]
     return tuple(usages)
 
 
-def _quarantined(proxy) -> dict[str, float]:
+def _quarantine_seconds_by_fingerprint(proxy) -> dict[str, float]:
     now = proxy.clock.monotonic()
     return {
         fingerprint.hex(): round(
@@ -105,7 +106,10 @@
         load.idle,
         load.unhealthy_probability,
         controller.latencies.medians_by_route(),
-        {str(r): count for r, count in controller.refusals_by_reason.items()},
+        {
+            str(reason): count
+            for reason, count in controller.refusals_by_reason.items()
+        },
         _ejection_changes(proxy, local_target),
     )
 
--- a/forklift/shell/request_body.py
+++ b/forklift/shell/request_body.py
@@ -30,12 +30,13 @@
     ) -> exchange.Body:
         """Reads the body of a request, or the prefix of a large one.
 
-        The rest of a large body is read as the consumer asks for it.
+        The rest of a large body is read when the consumer iterates over it.
 
         Raises:
             errors.BadRequest: The declared length exceeds the limit.
             exchange.IncompleteBody: The body ended early or exceeds the limit.
-            TimeoutError: The caller sent nothing for `STALL_TIMEOUT` seconds.
+            TimeoutError: The caller sent nothing for
+                `response_writer.STALL_TIMEOUT` seconds.
         """
         length = http.content_length(http.fields(event))
         if length > self._limits().body_bytes:
--- a/forklift/shell/response_buffer.py
+++ b/forklift/shell/response_buffer.py
@@ -2,12 +2,16 @@
 
 from forklift.shell import exchange
 
-# Responses of up to this size are buffered until complete, bytes.
+# Maximum size of a response body that is buffered until it is complete, bytes.
 MAX_BUFFERED_BYTES = 262_144
 
 
 class ResponseClaim:
-    """Lets only one of several concurrent attempts respond."""
+    """The exclusive right to respond, shared by attempts of one request.
+
+    Attributes:
+        owner: The response that owns the claim; None if it is free.
+    """
 
     def __init__(self):
         self.owner: BufferedResponse | None = None
@@ -15,7 +19,7 @@
     def try_acquire(self, response: "BufferedResponse") -> bool:
         """Acquires the claim if it is free; returns whether `response` owns it.
 
-        An owner may call this again.
+        The owner may call this repeatedly.
         """
         if self.owner is None:
             self.owner = response
@@ -30,10 +34,10 @@
 class BufferedResponse:
     """A sink that buffers a small response until it is complete.
 
-    An incomplete response is not passed on, so the caller gets a clear error.
-    A complete one that is a failure is withheld, so that a response of another
-    target can replace it. Of concurrent attempts only one responds; the
-    responses of the others are dropped.
+    An incomplete response is not passed on, so that the caller gets an error
+    response instead. A complete response that counts as a failure is withheld,
+    so that a response of another target can replace it. Of several concurrent
+    attempts only one responds; the responses of the others are dropped.
     """
 
     def __init__(self, sink: exchange.Sink, is_failure, claim: ResponseClaim):
@@ -41,9 +45,9 @@
 
         Args:
             sink: Receives the response.
-            is_failure: Tells by the status whether to withhold the response;
-                None to withhold none.
-            claim: Shared by the concurrent attempts of the request.
+            is_failure: Returns whether a response with the given status is
+                withheld; None if none is.
+            claim: The claim that the attempts of the request share.
         """
         self._sink = sink
         self._claim = claim
@@ -68,7 +72,7 @@
 
     @property
     def length(self) -> int:
-        """Length of the buffered response's body, bytes; 0 if there is none."""
+        """Length of the buffered body, bytes; 0 if no response is buffered."""
         return self._head.length if self._head is not None else 0
 
     async def start(self, head: exchange.Head) -> None:
@@ -98,7 +102,7 @@
             await self.flush()
 
     async def flush(self) -> exchange.Result:
-        """Passes the buffered response on."""
+        """Passes the buffered response on to the sink."""
         head = self._head
         await self._sink.start(head)
         if self._body:
--- a/forklift/shell/response_writer.py
+++ b/forklift/shell/response_writer.py
@@ -9,7 +9,8 @@
 from forklift.shell import http
 from forklift.shell import tcp_stream
 
-# Seconds for which a caller may transfer no byte of a request or response body.
+# Seconds without progress after which the transfer of a request or response
+# body fails.
 STALL_TIMEOUT = 20.0
 
 
@@ -17,6 +18,13 @@
     """The sink of the response to one request of a caller.
 
     Responses on a connection are sent in the order of their requests.
+
+    Attributes:
+        protocol: HTTP state of the request.
+        method: HTTP method of the request.
+        has_started: Whether the head of a response was passed on.
+        status: HTTP status of the response; 0 before it has started.
+        finished: Future that is done once the next response may start.
     """
 
     def __init__(
@@ -25,24 +33,24 @@
         is_last: Callable[["ResponseWriter"], bool],
         protocol: h11.Connection,
         method: bytes,
-        previous: asyncio.Future | None,
+        previous_finished: asyncio.Future | None,
     ):
-        """Creates a writer that has sent nothing.
+        """Creates a writer for the response to one request.
 
         Args:
             connection: The caller's connection.
-            is_last: Whether the connection closes after a response.
+            is_last: Returns whether the connection closes after a response.
             protocol: HTTP state of the request.
             method: HTTP method of the request.
-            previous: Done once the response before this one is finished; None
-                if there is none.
+            previous_finished: Future that is done once the previous response
+                on the connection is finished; None if there is none.
         """
         self._connection = connection
         self._is_last = is_last
         self.protocol = protocol
-        self._previous = previous
+        self._previous_finished = previous_finished
         self.method = method
-        # The head is sent with the first bytes of the body, in one packet.
+        # The encoded head until it is sent with the first bytes of the body.
         self._unsent = b""
         self.has_started = False
         self._start_count = 0
@@ -70,17 +78,20 @@
     async def _wait_for_previous(self) -> None:
         """Waits for the previous response; only the latest waiter proceeds.
 
-        An attempt of a non-idempotent request keeps running after the request
-        is given up. Its response may then wait here together with the one that
-        replaces it, and sending two heads would corrupt the connection.
+        An attempt of a non-idempotent request may keep running after the
+        request has failed. Its response may then wait here together with the
+        error response, and sending both heads would corrupt the connection.
 
         Raises:
-            tcp_stream.ConnectionLost: Another response to the request began.
+            tcp_stream.ConnectionLost: Another response replaced this one.
         """
         self._start_count += 1
         own_count = self._start_count
-        if self._previous is not None and not self._previous.done():
-            await asyncio.shield(self._previous)
+        if (
+            self._previous_finished is not None
+            and not self._previous_finished.done()
+        ):
+            await asyncio.shield(self._previous_finished)
         if own_count != self._start_count:
             raise tcp_stream.ConnectionLost(
                 "another response to this request replaced it"
@@ -106,7 +117,7 @@
         self._flush(self.protocol.send(h11.EndOfMessage()))
 
     def release_next(self) -> None:
-        """Lets the next response on the connection start."""
+        """Allows the next response on the connection to start."""
         if not self.finished.done():
             self.finished.set_result(None)
 
--- a/forklift/shell/server.py
+++ b/forklift/shell/server.py
@@ -13,8 +13,9 @@
 from forklift.shell import http
 from forklift.shell import tcp_stream
 
-# Seconds for which a caller may send nothing.
+# Seconds without input after which a connection is closed.
 IDLE_TIMEOUT = 60.0
+# Default maximum size of a request body.
 MAX_BODY_BYTES = 4_500_000
 JSON_MEDIA_TYPE = b"application/json"
 
@@ -45,8 +46,8 @@
         body: The complete body.
         media_type: Media type of the body.
         headers: Additional header fields.
-        truncate_at: Number of bytes of the body to send before the connection
-            is closed; -1 sends all. Test doubles truncate responses with it.
+        truncate_at: Number of bytes of the body after which the connection is
+            closed; -1 sends the whole body. Only test doubles set this.
     """
 
     status: int
@@ -66,8 +67,8 @@
 
     Attributes:
         address: The bound address, "ip:port"; empty before `open`.
-        cancelled_requests: Number of requests cancelled as their caller
-            disconnected.
+        cancelled_requests: Number of requests that were cancelled because the
+            caller disconnected.
     """
 
     def __init__(self, handler: Handler, max_body_bytes: int = MAX_BODY_BYTES):
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -14,7 +14,7 @@
 from forklift import invariants
 from forklift.shell import logs
 
-# Value and labels.
+# The value of a metric and its labels.
 Sample = tuple[float, dict[str, str]]
 ReadSamples = Callable[[], Iterable[Sample]]
 
@@ -22,7 +22,7 @@
 class Telemetry:
     """Metrics of one process.
 
-    Instruments read the counters of the process when they are scraped.
+    Each scrape reads the current values from the process.
     """
 
     def __init__(self, proxy):
@@ -34,9 +34,9 @@
             ),
         )
         self._meter = self._provider.get_meter("forklift")
-        self._add_requests(proxy)
-        self._add_targets(proxy)
-        self._add_fleet(proxy)
+        self._add_request_metrics(proxy)
+        self._add_target_metrics(proxy)
+        self._add_process_metrics(proxy)
 
     def render(self) -> bytes:
         """Returns all metrics in the Prometheus text format."""
@@ -56,7 +56,7 @@
             name, callbacks=[_make_callback(read)], description=description
         )
 
-    def _add_requests(self, proxy) -> None:
+    def _add_request_metrics(self, proxy) -> None:
         counters = proxy.counters
         self.add_counter(
             "forklift.requests",
@@ -95,7 +95,7 @@
             ],
         )
 
-    def _add_targets(self, proxy) -> None:
+    def _add_target_metrics(self, proxy) -> None:
         local_targets = proxy.local_targets.by_name
         self.add_counter(
             "forklift.doubts",
@@ -110,8 +110,10 @@
             "Requests that gates refused, by reason",
             lambda: [
                 (count, {"reason": str(reason)})
-                for local in local_targets.values()
-                for reason, count in local.controller.refusals_by_reason.items()
+                for target in local_targets.values()
+                for reason, count in (
+                    target.controller.refusals_by_reason.items()
+                )
             ],
         )
         self.add_gauge(
@@ -119,10 +121,10 @@
             "Requests that targets beside run and wait for",
             lambda: [
                 (value, {"kind": kind})
-                for local in local_targets.values()
+                for target in local_targets.values()
                 for kind, value in (
-                    ("running", local.controller.running),
-                    ("waiting", local.controller.waiting),
+                    ("running", target.controller.running),
+                    ("waiting", target.controller.waiting),
                 )
             ],
         )
@@ -131,15 +133,15 @@
             "Connections to targets beside",
             lambda: [
                 (value, {"kind": kind})
-                for local in local_targets.values()
+                for target in local_targets.values()
                 for kind, value in (
-                    ("made", local.pool.created),
-                    ("reused", local.pool.reused),
+                    ("made", target.pool.created),
+                    ("reused", target.pool.reused),
                 )
             ],
         )
 
-    def _add_fleet(self, proxy) -> None:
+    def _add_process_metrics(self, proxy) -> None:
         self.add_counter(
             "forklift.store.calls",
             "Calls to the store",
--- a/forklift/ui/admin_client.py
+++ b/forklift/ui/admin_client.py
@@ -23,8 +23,9 @@
 json_option = click.option(
     "--json", "as_json", is_flag=True, help="Print JSON."
 )
+# HTTP statuses from this one on are errors.
 MIN_ERROR_STATUS = 400
-# Seconds.
+# Seconds until the response must be complete.
 REQUEST_TIMEOUT = 15.0
 
 
--- a/forklift/ui/publish.py
+++ b/forklift/ui/publish.py
@@ -33,9 +33,9 @@
     from forklift.platform import store  # noqa: PLC0415
 
     configuration = _decode(store.decode_configuration, data)
-    registry = store.Store(address)
+    store_client = store.Store(address)
     try:
-        current = await registry.configuration()
+        current = await store_client.configuration()
         current_version = 0
         if current.record is not None:
             current_version = store.decode_configuration(current.record).version
@@ -44,13 +44,13 @@
         change = f"version {current_version} -> {configuration.version}"
         if dry_run:
             return f"{change}: not written"
-        if not await registry.publish(data, current.position):
+        if not await store_client.publish(data, current.position):
             raise errors.PublishConflict(current_version)
         return f"{change}: in force within seconds"
     except errors.RegistryUnavailable as error:
         raise errors.UserError(str(error)) from error
     finally:
-        registry.close()
+        store_client.close()
 
 
 def _decode(decode, data: bytes):
--- a/forklift/ui/run.py
+++ b/forklift/ui/run.py
@@ -46,12 +46,14 @@
     freed; `serve` enables it again.
     """
     gc.disable()
-    hidden = [name for name in UNUSED_MODULES if name not in sys.modules]
-    # An entry of None makes the import fail as if it were not installed.
-    sys.modules.update(dict.fromkeys(hidden))
+    hidden_modules = [
+        name for name in UNUSED_MODULES if name not in sys.modules
+    ]
+    # None in `sys.modules` makes an import fail as if the module were missing.
+    sys.modules.update(dict.fromkeys(hidden_modules))
     import asyncio  # noqa: F401, PLC0415
 
     import structlog  # noqa: F401, PLC0415
 
-    for name in hidden:
+    for name in hidden_modules:
         del sys.modules[name]
--- a/forklift/ui/status.py
+++ b/forklift/ui/status.py
@@ -7,7 +7,7 @@
 from forklift import report
 from forklift.ui import admin_client
 
-# Seconds.
+# Seconds between two refreshes with --watch.
 WATCH_INTERVAL = 1.0
 
 
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -25,7 +25,7 @@
 
 
 class Rig:
-    """An ingress with one connection; the test decides when to respond."""
+    """An ingress with one connection; `respond` sends a response."""
 
     def __init__(self, is_configured: bool = True):
         self.is_configured = is_configured
@@ -273,8 +273,8 @@
         await rig.wait_for_requests(1)
         body = rig.requests[0].body
         assert not body.complete
-        taken = b"".join([chunk async for chunk in body.chunks()])
-        assert len(taken) == size
+        received = b"".join([chunk async for chunk in body.chunks()])
+        assert len(received) == size
         rig.respond("/a/1")
         assert (await rig.read_response())[0] == 200
         rig.send("/a/2")
@@ -314,16 +314,16 @@
     (session,) = rig.ingress._sessions
     receive = session.connection.data_received
 
-    def taken(data: bytes) -> None:
+    def receive_and_call(data: bytes) -> None:
         receive(data)
         callback()
 
-    session.connection.data_received = taken
+    session.connection.data_received = receive_and_call
 
 
 @pytest.mark.parametrize("case", ["stop", "idle"])
 def test_a_request_that_arrives_while_idle_connections_close_is_answered(case):
-    """Otherwise it would run and its response would be lost."""
+    """Otherwise the request would run and its response would be lost."""
 
     async def work(rig):
         await helper.until(lambda: rig.ingress.connections == 1)
@@ -440,7 +440,7 @@
 
 
 def test_of_two_responses_to_one_request_the_latest_is_sent():
-    """An attempt of a non-idempotent request outlives the request."""
+    """An attempt of a non-idempotent request may outlast the request."""
 
     async def work():
         protocol = h11.Connection(h11.SERVER)
@@ -486,7 +486,7 @@
 def test_an_incomplete_body_does_not_abort_the_previous_response(
     monkeypatch, case
 ):
-    """The previous request is running already."""
+    """The previous request is still running and must complete."""
     monkeypatch.setattr(response_writer, "STALL_TIMEOUT", 0.05)
     body = {
         "stalls": b"content-length: 4\r\n\r\nab",
@@ -517,7 +517,7 @@
 
 
 def test_a_caller_that_pipelines_continuously_does_not_delay_shutdown():
-    """Two of its requests are always in progress."""
+    """The caller always has two requests in progress."""
 
     async def work(rig):
         rig.send("/a/1", "/a/2")
@@ -544,7 +544,7 @@
 
 
 def test_the_fingerprint_of_a_large_body_covers_its_prefix_and_length():
-    """It does not depend on how the body is split into packets."""
+    """The fingerprint does not depend on the sizes of the packets."""
 
     async def work(fleet):
         observed = []
--- a/test/test_logs.py
+++ b/test/test_logs.py
@@ -1,4 +1,4 @@
-"""Log output never blocks the process."""
+"""Writing log lines never blocks the event loop."""
 
 import os
 
--- a/test/test_response_buffer.py
+++ b/test/test_response_buffer.py
@@ -1,4 +1,4 @@
-"""Buffering of responses, and the choice among concurrent ones."""
+"""Responses are buffered, and only one of several concurrent ones is sent."""
 
 import pytest
 
@@ -23,13 +23,13 @@
 def test_only_one_of_two_concurrent_responses_is_sent(lengths):
     async def work():
         sink, claim = helper.Sink(), response_buffer.ResponseClaim()
-        one = response_buffer.BufferedResponse(sink, None, claim)
-        two = response_buffer.BufferedResponse(sink, None, claim)
-        await one.start(head(lengths[0]))
-        await one.data(b"o")
-        await write_response(two, b"two", lengths[1])
-        await one.data(b"ne")
-        await one.end()
+        first = response_buffer.BufferedResponse(sink, None, claim)
+        second = response_buffer.BufferedResponse(sink, None, claim)
+        await first.start(head(lengths[0]))
+        await first.data(b"o")
+        await write_response(second, b"two", lengths[1])
+        await first.data(b"ne")
+        await first.end()
         assert sink.body in (b"one", b"two")
         assert (len(sink.heads), sink.ended) == (1, 1)
 
@@ -39,13 +39,13 @@
 def test_an_attempt_that_sent_nothing_releases_the_claim():
     async def work():
         sink, claim = helper.Sink(), response_buffer.ResponseClaim()
-        one = response_buffer.BufferedResponse(sink, None, claim)
-        two = response_buffer.BufferedResponse(sink, None, claim)
-        assert claim.try_acquire(one)
-        claim.release(two)
-        assert not claim.try_acquire(two)
-        claim.release(one)
-        await write_response(two, b"two", 3)
+        first = response_buffer.BufferedResponse(sink, None, claim)
+        second = response_buffer.BufferedResponse(sink, None, claim)
+        assert claim.try_acquire(first)
+        claim.release(second)
+        assert not claim.try_acquire(second)
+        claim.release(first)
+        await write_response(second, b"two", 3)
         assert sink.body == b"two"
 
     helper.run(work())
