--- a/test/test_ui.py
+++ b/test/test_ui.py
@@ -154,19 +154,18 @@
 
 
 def test_built_in_functions_equal_their_policy_expressions():
-    """Guards the Python functions against deviations from their documentation.
-
-    The expressions that document them are evaluated on the same inputs.
-    """
-    program = policy.BUILT_IN.service_policy("s")
+    """Checks the functions against the expressions that document them."""
+    service_policy = policy.BUILT_IN.service_policy("s")
     failure = policy.expressions.Expression(
-        program.failure.text, {"status": 1}, True
+        service_policy.failure.text, {"status": 1}, True
     )
     retry = policy.expressions.Expression(
-        program.retry.text, policy._RETRY_SAMPLE, False
+        service_policy.retry.text, policy._RETRY_SAMPLE, False
     )
     for status in (0, 200, 404, 500, 501, 502, 503, 504, 599):
-        assert program.is_failure(status) == failure.evaluate(status=status)
+        assert service_policy.is_failure(status) == failure.evaluate(
+            status=status
+        )
         for outcome in ("answered", "not-run", "unknown"):
             for repeatable in (True, False):
                 values = {
@@ -175,15 +174,15 @@
                     "outcome": outcome,
                     "repeatable": repeatable,
                 }
-                found = program.retry.evaluate(**values)
+                found = service_policy.retry.evaluate(**values)
                 assert found == retry.evaluate(**values)
 
 
 def test_policy_applies_to_named_services_and_the_default_to_others():
     text = POLICY + "[service default]\nspread = round-robin\n"
-    read = policy.parse("f", text)
-    assert read.service_policy("s").spread == "least-loaded"
-    assert read.service_policy("other").spread == "round-robin"
+    parsed = policy.parse("f", text)
+    assert parsed.service_policy("s").spread == "least-loaded"
+    assert parsed.service_policy("other").spread == "round-robin"
 
 
 def test_serving_does_not_import_cel_or_opentelemetry():
@@ -198,7 +197,7 @@
 
 
 def test_commands_on_a_running_fleet(tmp_path):
-    """Commands run in threads, as each starts an event loop of its own."""
+    """Each command runs in a thread, as it starts its own event loop."""
 
     async def work():
         async with processes.Fleet([[], []]) as fleet:
