--- a/forklift/shell/connection_pool.py
+++ b/forklift/shell/connection_pool.py
@@ -13,15 +13,15 @@
 
 # Connect timeout, in seconds, for checking whether a target has exited after an
 # incomplete response; the target is on this instance.
-CHECK_TIMEOUT = 0.25
+CHECK_TIMEOUT_SECONDS = 0.25
 # Seconds for which the connection of such a check is kept alive.
-CHECK_KEEP_ALIVE = 0.8
+CHECK_KEEP_ALIVE_SECONDS = 0.8
 # Connect timeout, in seconds; the target is on this instance.
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 # Maximum idle time, in seconds, of connections for non-idempotent requests. A
 # target may close an idle connection earlier than it announced, and the reset
 # would leave the outcome unknown.
-MAX_IDLE_NON_IDEMPOTENT = 2.0
+MAX_NON_IDEMPOTENT_IDLE_SECONDS = 2.0
 
 
 class NotRun(errors.ForkliftError):
@@ -78,7 +78,9 @@
         while self._idle:
             idle = self._idle.pop()
             usable = not idle.connection.closed and not idle.connection.buffered
-            fresh = self._now() - idle.idle_since < MAX_IDLE_NON_IDEMPOTENT
+            fresh = (
+                self._now() - idle.idle_since < MAX_NON_IDEMPOTENT_IDLE_SECONDS
+            )
             if usable and (idempotent or fresh):
                 self.reused += 1
                 self._busy.add(idle.connection)
@@ -126,14 +128,14 @@
         if self.open_count >= self.max_connections:
             return False
         try:
-            connection = await self._connect(CHECK_TIMEOUT)
+            connection = await self._connect(CHECK_TIMEOUT_SECONDS)
         except NotRun as error:
             return isinstance(error.__cause__, ConnectionRefusedError)
-        self.release(connection, CHECK_KEEP_ALIVE)
+        self.release(connection, CHECK_KEEP_ALIVE_SECONDS)
         return False
 
     async def _connect(
-        self, timeout: float = CONNECT_TIMEOUT
+        self, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> tcp_stream.Connection:
         self.open_count += 1
         try:
--- a/forklift/shell/dispatch.py
+++ b/forklift/shell/dispatch.py
@@ -26,7 +26,7 @@
 Reason = messages.Reason
 
 # Seconds after the deadline in which the target's process may still report it.
-DEADLINE_GRACE = 0.05
+DEADLINE_GRACE_SECONDS = 0.05
 # Bodies of this size or more, in bytes, are sent only after the request is
 # admitted, so that a rejection costs only the head.
 MIN_DEFERRED_BODY_BYTES = 1024
@@ -34,7 +34,7 @@
 # the target's process has failed.
 MAX_RELAYS = 2
 # Retry-After, in seconds, if the target's process is unreachable.
-RETRY_AFTER = 0.5
+RETRY_AFTER_SECONDS = 0.5
 
 
 class Dispatcher:
@@ -97,7 +97,7 @@
                 exclusive,
             )
         except errors.PeerUnreachable:
-            return exchange.not_run(Reason.PEER_LOST, RETRY_AFTER)
+            return exchange.not_run(Reason.PEER_LOST, RETRY_AFTER_SECONDS)
 
     async def _send_over(
         self,
@@ -132,7 +132,7 @@
         )
         to_boot = connection.peer_hello.boot
         try:
-            async with asyncio.timeout(remaining + DEADLINE_GRACE):
+            async with asyncio.timeout(remaining + DEADLINE_GRACE_SECONDS):
                 if request.idempotent:
                     return await connection.send_request(start, request, sink)
                 return await self._send_once(connection, start, request, sink)
--- a/forklift/shell/forwarding.py
+++ b/forklift/shell/forwarding.py
@@ -34,7 +34,7 @@
 Reason = messages.Reason
 
 # Retry-After, in seconds, if no target was available.
-RETRY_AFTER = 0.5
+RETRY_AFTER_SECONDS = 0.5
 # Fraction of the retry budget that hedged requests may use; the rest is
 # reserved for retries of failed requests.
 HEDGE_BUDGET_FRACTION = 0.85
@@ -203,7 +203,7 @@
         except TimeoutError:
             if self._is_dispatched or self._retry_state.possible_runs:
                 return exchange.unknown(Reason.DRAINING)
-            return exchange.not_run(Reason.DRAINING, RETRY_AFTER)
+            return exchange.not_run(Reason.DRAINING, RETRY_AFTER_SECONDS)
         finally:
             self._timeout = None
 
@@ -280,7 +280,7 @@
         return self._request.body.replayable and not self._sink.has_started
 
     async def _run_attempts(self) -> exchange.Result:
-        result = exchange.not_run(Reason.NO_TARGET, RETRY_AFTER)
+        result = exchange.not_run(Reason.NO_TARGET, RETRY_AFTER_SECONDS)
         soft_deadline = self._request.soft_deadline
         while not self._retry_state.should_give_up(
             self._distribution, soft_deadline, self._now()
--- a/forklift/shell/health_probe.py
+++ b/forklift/shell/health_probe.py
@@ -16,7 +16,7 @@
 
 # Timeout of a probe, in seconds. A failed probe does little harm, as the next
 # heartbeat of the target follows soon.
-PROBE_TIMEOUT = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 _NAME = re.compile(rb"[!-~]{1,200}")
 # Load field: running requests, waiting requests, slots.
 _LOAD = re.compile(rb"\s*\d+\s*,\s*\d+\s*,\s*(\d{1,6})\s*")
@@ -49,7 +49,7 @@
     """
     connection = None
     try:
-        async with asyncio.timeout(PROBE_TIMEOUT):
+        async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             connection = await tcp_stream.connect(address)
             return await _request_health(
                 connection, address, path, header_names
--- a/forklift/shell/hedging.py
+++ b/forklift/shell/hedging.py
@@ -15,7 +15,7 @@
 
 # Seconds until hedging is tried again, after no healthy target was free or the
 # retry budget was used up.
-HEDGE_RETRY_DELAY = 0.1
+HEDGE_RETRY_SECONDS = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
@@ -99,7 +99,7 @@
                 self._record_failure(ended)
                 ending = ended.result.ending
                 if ending.outcome is messages.Outcome.NOT_RUN:
-                    delay = HEDGE_RETRY_DELAY
+                    delay = HEDGE_RETRY_SECONDS
         finally:
             await self._cancel_attempts()
 
@@ -116,7 +116,7 @@
             return None
         hedge = self._select_hedge(first, len(self._attempt_by_task))
         if hedge is None:
-            return HEDGE_RETRY_DELAY
+            return HEDGE_RETRY_SECONDS
         self._add(self._start_attempt(hedge, True))
         return None
 
--- a/forklift/shell/local_targets.py
+++ b/forklift/shell/local_targets.py
@@ -36,14 +36,14 @@
     """One incarnation of a target of this instance.
 
     Attributes:
-        target: Name that the target reports; the name of the admission
+        reported_name: Name that the target reports; the name of the admission
             controller is that of the incarnation.
         controller: Admission controller of the target.
         pool: Connections to the target.
         candidates: Requests that a crash of the target may be blamed on.
     """
 
-    target: str
+    reported_name: str
     controller: admission.Controller
     pool: connection_pool.Pool
     candidates: crash_candidates.CrashCandidates = dataclasses.field(
@@ -278,7 +278,7 @@
         run = upstream.UpstreamRequest(
             local_target.pool,
             request,
-            local_target.target,
+            local_target.reported_name,
             local_target.controller.name,
             self._header_names,
             self._clock.monotonic,
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -28,7 +28,7 @@
 
 # Seconds for which a connection may be idle if the target sends no Keep-Alive
 # timeout.
-DEFAULT_KEEP_ALIVE = 0.8
+DEFAULT_KEEP_ALIVE_SECONDS = 0.8
 # Fraction of the Keep-Alive timeout that is used, as the target starts to count
 # it earlier than this process.
 KEEP_ALIVE_FRACTION = 0.7
@@ -440,5 +440,5 @@
     """Returns the seconds for which the connection may be idle."""
     match = _KEEP_ALIVE.search(http.value(headers, b"keep-alive") or b"")
     if match is None:
-        return DEFAULT_KEEP_ALIVE
+        return DEFAULT_KEEP_ALIVE_SECONDS
     return int(match[1]) * KEEP_ALIVE_FRACTION
--- a/test/test_invalid_input.py
+++ b/test/test_invalid_input.py
@@ -215,7 +215,10 @@
 def test_invalid_keep_alive_timeout_is_ignored(value):
     """Guards against failed requests due to an invalid keep-alive header."""
     headers = ((b"keep-alive", value),)
-    assert upstream._keep_alive_seconds(headers) == upstream.DEFAULT_KEEP_ALIVE
+    assert (
+        upstream._keep_alive_seconds(headers)
+        == upstream.DEFAULT_KEEP_ALIVE_SECONDS
+    )
 
 
 # Configuration records.
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -332,8 +332,8 @@
         assert [response.status for response in responses] == [503] * 5
         told = {retry_after(response) for response in responses}
         assert len(told) == len(responses)
-        assert min(told) >= forwarding.RETRY_AFTER
-        assert max(told) <= forwarding.RETRY_AFTER * (
+        assert min(told) >= forwarding.RETRY_AFTER_SECONDS
+        assert max(told) <= forwarding.RETRY_AFTER_SECONDS * (
             1 + retries.RETRY_AFTER_JITTER
         )
 
@@ -418,7 +418,7 @@
 
             super().__init__(claim, start_attempt, select, record_failure)
 
-    monkeypatch.setattr(hedging, "HEDGE_RETRY_DELAY", 0.001)
+    monkeypatch.setattr(hedging, "HEDGE_RETRY_SECONDS", 0.001)
     monkeypatch.setattr(hedging, "HedgedRequest", HedgedRequest)
     return selections
 
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -250,13 +250,13 @@
 @pytest.mark.parametrize(
     ("fields", "seconds"),
     [
-        ((), upstream.DEFAULT_KEEP_ALIVE),
+        ((), upstream.DEFAULT_KEEP_ALIVE_SECONDS),
         (((b"keep-alive", b"timeout=10"),), 10 * upstream.KEEP_ALIVE_FRACTION),
         (
             ((b"keep-alive", b"max=5, timeout=2"),),
             2 * upstream.KEEP_ALIVE_FRACTION,
         ),
-        (((b"keep-alive", b"nonsense"),), upstream.DEFAULT_KEEP_ALIVE),
+        (((b"keep-alive", b"nonsense"),), upstream.DEFAULT_KEEP_ALIVE_SECONDS),
     ],
 )
 def test_respects_the_keep_alive_timeout_of_targets(fields, seconds):
