--- a/forklift/allocator.py
+++ b/forklift/allocator.py
@@ -67,7 +67,7 @@
     process: messages.ProcessRun
     share: float = 0.0
     # Period in which the allocator may grant the share, monotonic seconds.
-    counts_from: float = math.inf
+    grantable_from: float = math.inf
     expires_at: float = -math.inf
     # Whether no allocator but earlier runs of this one may still grant the
     # share.
@@ -169,7 +169,7 @@
         self._find_organisation = find_organisation
         self._expected = expected
         self._delegator_by_name: dict[str, _Delegator] = {}
-        self._names_by_organisation: dict[str, set[str]] = {}
+        self._user_names_by_organisation: dict[str, set[str]] = {}
         self._pool_by_organisation: dict[str, _TokenPool] = {}
         # Time at which all leases of each run that handed over to this
         # allocator have expired, by boot; monotonic seconds.
@@ -188,7 +188,7 @@
         for one in self._delegator_by_name.values():
             if one.expires_at < now + LEASE_SECONDS:
                 continue
-            if one.counts_from <= now or (
+            if one.grantable_from <= now or (
                 complete and one.only_earlier_own_runs
             ):
                 delegated += one.share
@@ -205,10 +205,16 @@
         of this process are no longer in use.
         """
         for name in self._expected(now):
-            known = self._delegator_by_name.get(name)
-            if known is None or now - known.heard_at > DELEGATION_SECONDS:
+            delegator = self._delegator_by_name.get(name)
+            if (
+                delegator is None
+                or now - delegator.heard_at > DELEGATION_SECONDS
+            ):
                 return False
-            if known.counts_from > now and not known.only_earlier_own_runs:
+            if (
+                delegator.grantable_from > now
+                and not delegator.only_earlier_own_runs
+            ):
                 return False
         return True
 
@@ -216,24 +222,27 @@
         self, delegation: messages.Delegation, now: float
     ) -> messages.Allocation | None:
         """Answers a delegation; returns None if it arrives out of order."""
-        known = self._delegator_by_name.get(delegation.sender.name)
-        if known is None or known.process.boot != delegation.sender.boot:
+        delegator = self._delegator_by_name.get(delegation.sender.name)
+        if (
+            delegator is None
+            or delegator.process.boot != delegation.sender.boot
+        ):
             # Leases of an earlier run of the process ended with that run.
             self._drop(delegation.sender.name)
-            known = _Delegator(delegation.sender)
-            self._delegator_by_name[delegation.sender.name] = known
-        if delegation.sequence <= known.last_sequence:
+            delegator = _Delegator(delegation.sender)
+            self._delegator_by_name[delegation.sender.name] = delegator
+        if delegation.sequence <= delegator.last_sequence:
             return None
-        known.process = delegation.sender
-        known.last_sequence, known.heard_at = delegation.sequence, now
-        self._update_share(known, delegation, now)
-        self._update_demands(known, delegation.demands)
-        return self._allocate(known, delegation, now)
+        delegator.process = delegation.sender
+        delegator.last_sequence, delegator.heard_at = delegation.sequence, now
+        self._update_share(delegator, delegation, now)
+        self._update_demands(delegator, delegation.demands)
+        return self._allocate(delegator, delegation, now)
 
     def _update_share(
-        self, known: _Delegator, delegation: messages.Delegation, now: float
+        self, delegator: _Delegator, delegation: messages.Delegation, now: float
     ) -> None:
-        known.only_earlier_own_runs = all(
+        delegator.only_earlier_own_runs = all(
             name == self._own.name for name, _ in delegation.previous_allocators
         )
         handed_over = all(
@@ -241,55 +250,57 @@
             for _, boot in delegation.previous_allocators
         )
         wait = 0.0 if handed_over else delegation.exclusive_in
-        known.counts_from = now + wait
+        delegator.grantable_from = now + wait
         if delegation.echo_boot != self._own.boot:
             return
-        echoed = known.acknowledge(delegation.echo)
+        echoed = delegator.acknowledge(delegation.echo)
         if echoed is not None:
-            known.share = delegation.share
-            known.expires_at = max(
-                known.expires_at, echoed.sent_at + delegation.valid_for
+            delegator.share = delegation.share
+            delegator.expires_at = max(
+                delegator.expires_at, echoed.sent_at + delegation.valid_for
             )
 
     def _update_demands(
-        self, known: _Delegator, demands: Iterable[messages.Demand]
+        self, delegator: _Delegator, demands: Iterable[messages.Demand]
     ) -> None:
-        name = known.process.name
-        for organisation in known.rate_by_organisation:
-            self._names_by_organisation[organisation].discard(name)
-        known.rate_by_organisation = {}
+        name = delegator.process.name
+        for organisation in delegator.rate_by_organisation:
+            self._user_names_by_organisation[organisation].discard(name)
+        delegator.rate_by_organisation = {}
         for one in demands:
             if one.rate > 0:
-                known.rate_by_organisation[one.organisation] = one.rate
+                delegator.rate_by_organisation[one.organisation] = one.rate
         leased = {
-            name for sent in known.issued for name in sent.share_by_organisation
+            name
+            for sent in delegator.issued
+            for name in sent.share_by_organisation
         }
-        for organisation in leased | set(known.rate_by_organisation):
-            self._users(organisation).add(name)
+        for organisation in leased | set(delegator.rate_by_organisation):
+            self._user_names(organisation).add(name)
 
-    def _users(self, organisation: str) -> set[str]:
+    def _user_names(self, organisation: str) -> set[str]:
         """Names of processes with demand or leases of an organisation."""
-        return self._names_by_organisation.setdefault(organisation, set())
+        return self._user_names_by_organisation.setdefault(organisation, set())
 
     # Allocations.
 
     def _allocate(
-        self, known: _Delegator, delegation: messages.Delegation, now: float
+        self, delegator: _Delegator, delegation: messages.Delegation, now: float
     ) -> messages.Allocation:
         capacity = self.capacity(now)
         shares = {}
-        for organisation in known.rate_by_organisation:
-            share = self._share_to_lease(known, organisation, capacity, now)
+        for organisation in delegator.rate_by_organisation:
+            share = self._share_to_lease(delegator, organisation, capacity, now)
             if share:
                 shares[organisation] = share
-        known.issued_sequence += 1
-        known.issued.append(
+        delegator.issued_sequence += 1
+        delegator.issued.append(
             _IssuedAllocation(
-                known.issued_sequence, now, now + LEASE_SECONDS, shares
+                delegator.issued_sequence, now, now + LEASE_SECONDS, shares
             )
         )
         for organisation in shares:
-            self._users(organisation).add(known.process.name)
+            self._user_names(organisation).add(delegator.process.name)
         token_grants = tuple(
             self._grant_tokens(one, capacity, now)
             for one in delegation.demands
@@ -298,7 +309,7 @@
         return messages.Allocation(
             self._own,
             self._shard,
-            known.issued_sequence,
+            delegator.issued_sequence,
             delegation.sequence,
             LEASE_SECONDS,
             tuple(
@@ -309,7 +320,11 @@
         )
 
     def _share_to_lease(
-        self, known: _Delegator, organisation: str, capacity: float, now: float
+        self,
+        delegator: _Delegator,
+        organisation: str,
+        capacity: float,
+        now: float,
     ) -> float:
         """Share of a limit to lease to a process, in proportion to demand."""
         limit = self._find_organisation(organisation)
@@ -317,15 +332,15 @@
             return 0.0
         depth = self._bounds.depth(limit.rate, limit.burst)
         leasable = LEASABLE_FRACTION * capacity
-        wanted = self._wanted_share(known, organisation, limit, depth)
+        wanted = self._wanted_share(delegator, organisation, limit, depth)
         all_wanted = sum(
             self._wanted_share(
                 self._delegator_by_name[name], organisation, limit, depth
             )
-            for name in self._names_by_organisation[organisation]
+            for name in self._user_names_by_organisation[organisation]
         )
         share = wanted * min(1.0, leasable / max(all_wanted, wanted))
-        others = self._total_leased(organisation, now) - known.leased_share(
+        others = self._total_leased(organisation, now) - delegator.leased_share(
             organisation, now
         )
         share = min(share, leasable - others)
@@ -334,12 +349,12 @@
 
     def _wanted_share(
         self,
-        known: _Delegator,
+        delegator: _Delegator,
         organisation: str,
         limit: organisations.Organisation,
         depth: float,
     ) -> float:
-        rate = known.rate_by_organisation.get(organisation, 0.0)
+        rate = delegator.rate_by_organisation.get(organisation, 0.0)
         if not rate:
             return 0.0
         return max(1.0 / depth, rate / limit.rate)
@@ -348,7 +363,7 @@
         """Upper bound for the sum of all valid leases of a limit, 0 to 1."""
         return sum(
             self._delegator_by_name[name].leased_share(organisation, now)
-            for name in self._names_by_organisation.get(organisation, ())
+            for name in self._user_names_by_organisation.get(organisation, ())
         )
 
     def _grant_tokens(
@@ -377,10 +392,12 @@
 
     def tick(self, now: float) -> None:
         """Drops expired delegations, unused token pools and old runs."""
-        for name, known in list(self._delegator_by_name.items()):
-            ended = max(known.heard_at + DELEGATION_SECONDS, known.expires_at)
+        for name, delegator in list(self._delegator_by_name.items()):
+            ended = max(
+                delegator.heard_at + DELEGATION_SECONDS, delegator.expires_at
+            )
             if now > ended and all(
-                one.expires_at <= now for one in known.issued
+                one.expires_at <= now for one in delegator.issued
             ):
                 self._drop(name)
         for organisation, pool in list(self._pool_by_organisation.items()):
@@ -415,18 +432,20 @@
         )
 
     def _held_delegation(
-        self, known: _Delegator, now: float
+        self, delegator: _Delegator, now: float
     ) -> messages.HeldDelegation:
         names = {
-            name for one in known.issued for name in one.share_by_organisation
+            name
+            for one in delegator.issued
+            for name in one.share_by_organisation
         }
-        shares = {name: known.leased_share(name, now) for name in names}
-        until = max((one.expires_at for one in known.issued), default=now)
-        counts = known.counts_from <= now
+        shares = {name: delegator.leased_share(name, now) for name in names}
+        until = max((one.expires_at for one in delegator.issued), default=now)
+        counts = delegator.grantable_from <= now
         return messages.HeldDelegation(
-            known.process,
-            known.share if counts else 0.0,
-            round(known.expires_at - now, 3),
+            delegator.process,
+            delegator.share if counts else 0.0,
+            round(delegator.expires_at - now, 3),
             tuple(messages.Lease(*item) for item in shares.items() if item[1]),
             round(max(0.0, until - now), 3),
         )
@@ -436,25 +455,27 @@
         for boot in handover.supersedes:
             self._superseded[boot] = now + DELEGATION_SECONDS
         for held in handover.delegations:
-            known = self._delegator_by_name.get(held.delegator.name)
-            if known is None:
-                known = _Delegator(held.delegator, held.share, now)
-                known.expires_at = now + held.expires_in - HANDOVER_SECONDS
-                known.heard_at = now
-                self._delegator_by_name[held.delegator.name] = known
-            if known.process.boot == held.delegator.boot:
+            delegator = self._delegator_by_name.get(held.delegator.name)
+            if delegator is None:
+                delegator = _Delegator(held.delegator, held.share, now)
+                delegator.expires_at = now + held.expires_in - HANDOVER_SECONDS
+                delegator.heard_at = now
+                self._delegator_by_name[held.delegator.name] = delegator
+            if delegator.process.boot == held.delegator.boot:
                 shares = {one.organisation: one.share for one in held.leases}
-                known.issued.append(
+                delegator.issued.append(
                     _IssuedAllocation(
                         0, now, now + held.leases_valid_for, shares
                     )
                 )
                 for organisation in shares:
-                    self._users(organisation).add(held.delegator.name)
+                    self._user_names(organisation).add(held.delegator.name)
 
     def _drop(self, name: str) -> None:
         self._delegator_by_name.pop(name, None)
-        for organisation, names in list(self._names_by_organisation.items()):
+        for organisation, names in list(
+            self._user_names_by_organisation.items()
+        ):
             names.discard(name)
             if not names:
-                del self._names_by_organisation[organisation]
+                del self._user_names_by_organisation[organisation]
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_process_that_starts_without_store_gets_the_latest_version(seed):
-    """It knows no peers, and half of those that find it lag as well."""
+    """The process knows no peers, and half of its peers lag as well."""
     found = settled(seed)
     found.cut.add("p3")
     del found.node_by_name["p3"]
@@ -229,7 +229,7 @@
     assert rig.tick(60.0) == []
 
 
-def test_holders_are_asked_in_rotation_over_new_connections():
+def test_newer_peers_are_asked_in_rotation_over_new_connections():
     rig = Rig("a", "b")
     assert rig.told("a", 2) == rig.told("b", 2) == []
     asked = [send for _ in range(4) for send in rig.next_sends()]
@@ -262,7 +262,7 @@
 
 
 def test_process_without_version_requests_one_at_once():
-    """It cannot serve requests without one."""
+    """A process cannot serve requests without a configuration."""
     rig = Rig(version=0)
     assert kinds(rig.told("peer", 2)) == ["CatalogRequest"]
 
--- a/test/test_limits.py
+++ b/test/test_limits.py
@@ -351,7 +351,7 @@
     return limit_messages.Delegation(**(fields | changes))
 
 
-def test_delegation_counts_from_the_allocation_it_echoes():
+def test_delegation_validity_starts_at_the_echoed_allocation():
     """A delayed delegation must not be valid for longer."""
     found = single_allocator()
     given = found.receive_delegation(delegation(), 0.0)
@@ -365,7 +365,7 @@
     )
 
 
-def test_share_counts_only_once_no_other_allocator_counts_it():
+def test_share_is_granted_only_once_no_other_allocator_may_grant_it():
     found = single_allocator(expected=("p", "q"))
     given = found.receive_delegation(delegation(), 0.0)
     tie = {"previous_allocators": (("b", 5),), "exclusive_in": 6.0}
@@ -506,7 +506,7 @@
     assert found.leased_share("o", 0.4) == 0.25
 
 
-def test_delegation_names_previous_allocator_until_it_cannot_count_the_share():
+def test_delegation_names_previous_allocator_while_it_may_grant_the_share():
     found = local_quota_of_process()
     shard = local_quota.shard_of("o")
     assert found.delegate(shard, "a", 0.0).exclusive_in == 0.0
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -14,8 +14,8 @@
 
 Verdict = quarantines.Verdict
 CRASHING, INNOCENT, OTHER = b"deadly", b"innocent", b"other"
-# Seconds within which all processes must know of a crash, also those that were
-# partitioned.
+# Seconds within which all processes must know of a crash, including processes
+# that were partitioned.
 CONTACT = 3.0
 
 
@@ -51,7 +51,7 @@
         crash(one, number, 1.0, CRASHING, INNOCENT)
     one.record_success(INNOCENT, 2.0)
     assert one.verdict(INNOCENT, 2.1) is Verdict.CLEAR
-    # A further crash counts as the first one.
+    # The next crash is the first one that counts.
     crash(one, 5, 20.0, CRASHING, INNOCENT)
     assert one.verdict(INNOCENT, 20.1) is not Verdict.QUARANTINED
 
@@ -73,7 +73,7 @@
     crash(one, 1, 0.0, CRASHING, INNOCENT, OTHER)
     crash(one, 2, 0.2, CRASHING)
     assert one.verdict(INNOCENT, 0.3) is Verdict.CLEAR
-    # Requests that run beside a quarantined one are not even suspected.
+    # Requests concurrent with a quarantined request are not suspected.
     crash(one, 3, 0.4, CRASHING, OTHER)
     assert one.verdict(OTHER, 0.5) is Verdict.CLEAR
 
@@ -104,7 +104,7 @@
     for number, hold in enumerate((600.0, 1200.0, 2400.0), 3):
         assert one.quarantined_for(CRASHING, now) == pytest.approx(hold)
         now += hold
-        # It runs alone once: it succeeds, or is quarantined for longer.
+        # The request then runs alone; it succeeds or is quarantined again.
         assert one.verdict(CRASHING, now) is Verdict.SUSPECTED
         crash(one, number, now, CRASHING)
     one.record_success(CRASHING, now + 5000.0)
--- a/test/test_store_readers.py
+++ b/test/test_store_readers.py
@@ -151,7 +151,7 @@
 # The store follower.
 
 
-def test_follower_waits_at_the_store_only_while_it_is_a_reader():
+def test_follower_long_polls_only_while_it_is_a_reader():
     async def work():
         store = test_store.HangingStore()
         reads = [False]
@@ -167,7 +167,7 @@
         reads[0] = True
         follower.update_role()
         await helper.until(lambda: len(store.waits) == 1)
-        # Changes made while it did not wait are read first.
+        # Changes made between its long polls are read first.
         assert store.first_reads == 2
         task.cancel()
 
