--- a/forklift/shell/authentication.py
+++ b/forklift/shell/authentication.py
@@ -13,13 +13,14 @@
 
 _HEADER = struct.Struct("!QQd")
 _MAC_BYTES = 16
-# Maximum age of a message in seconds, clock skew included.
+# Maximum difference between the time in a message and the local clock, in
+# seconds.
 MAX_AGE_SECONDS = 10.0
-# Size of the replay window in counters. Messages with older counters are
-# rejected, so reordering by more than this loses messages.
+# Number of recent counters that are tracked for each sender. Messages with
+# older counters are rejected.
 REPLAY_WINDOW = 256
-# Number of senders above which windows that were not used lately are dropped.
-# Replayed messages of these senders are rejected by their age.
+# Number of senders above which replay windows that were not used lately are
+# dropped. Replayed messages of their senders are rejected because of their age.
 MAX_TRACKED_BOOTS = 1024
 
 
@@ -55,6 +56,13 @@
     """Signs outgoing messages and verifies incoming ones."""
 
     def __init__(self, boot: int, key: bytes, wall_clock: Callable[[], float]):
+        """Creates an authenticator that has seen no message.
+
+        Args:
+            boot: Boot id of this process.
+            key: Shared key.
+            wall_clock: Returns the wall-clock time in seconds.
+        """
         self._boot = boot
         self._key = key
         self._wall_clock = wall_clock
--- a/forklift/shell/configuration_loader.py
+++ b/forklift/shell/configuration_loader.py
@@ -15,7 +15,7 @@
 STORE_SOURCE = "store"
 # Seconds after its start during which a process waits to learn the peers'
 # versions before it activates the version in the store. Must exceed the round
-# trip to a peer several times.
+# trip to a peer.
 PEER_VERSION_TIMEOUT = 0.5
 
 
@@ -50,7 +50,7 @@
         self._is_alone = is_alone
         self._on_activated = on_activated
         self._started_at = clock.monotonic()
-        # Read from the store; not active until the peers' versions are known.
+        # Catalog from the store that waits until the peers' versions are known.
         self._pending: catalog.Catalog | None = None
 
     def receive(self, data: bytes, source: str = STORE_SOURCE) -> None:
@@ -60,7 +60,7 @@
 
         Args:
             data: Configuration record.
-            source: `STORE_SOURCE`, or the peer that sent it.
+            source: `STORE_SOURCE`, or "peer" for a record sent by a peer.
         """
         try:
             loaded = self._decode(data)
@@ -78,7 +78,7 @@
         self._activate(loaded, source)
 
     def activate_pending(self) -> None:
-        """Activates a version that waited for the peers, if it need not now."""
+        """Activates the pending version once it need not wait for the peers."""
         pending = self._pending
         if pending is not None and not self._must_wait(pending):
             self._pending = None
--- a/forklift/shell/control_channel.py
+++ b/forklift/shell/control_channel.py
@@ -20,13 +20,12 @@
 
 _log = structlog.get_logger(__name__)
 
-# Messages from this size in bytes are compressed. Smaller ones, such as the
-# description of a single process, hardly shrink.
+# Minimum size in bytes of a message that is compressed.
 MIN_COMPRESS_BYTES = 256
 # First byte of zlib data; no encoded message starts with it.
 _ZLIB_HEADER_BYTE = 0x78
-# Number of ephemeral ports to try: TCP and UDP listen at the same port number,
-# which may be in use for one of them.
+# Maximum number of ephemeral ports to try. TCP and UDP listen at the same port
+# number, which may be in use for one of the protocols.
 MAX_PORT_ATTEMPTS = 16
 
 
@@ -51,9 +50,19 @@
         on_message: Callable[[messages.Control], None],
         public_address: str = "",
     ):
+        """Creates a channel that is not open.
+
+        Args:
+            address: Address to listen at, "ip:port".
+            boot: Boot id of this process.
+            key: Shared key; empty to send messages without authentication.
+            wall_clock: Returns the wall-clock time in seconds.
+            on_message: Called with each valid message.
+            public_address: Address that peers send to, if it is not the listen
+                address.
+        """
         self._address = address
-        # Address that peers send to, if different from the listen address. The
-        # authentication codes cover it.
+        # If set, authentication codes of received messages cover this address.
         self._public_address = public_address
         self._authenticator = (
             authentication.MessageAuthenticator(boot, key, wall_clock)
@@ -74,7 +83,7 @@
         """Starts to listen; the system chooses the port if it is 0.
 
         Raises:
-            pynng.AddressInUse, OSError: The address is in use.
+            ListenError, OSError: The address is in use.
         """
         for attempts_left in reversed(range(MAX_PORT_ATTEMPTS)):
             bound_address = self._push_sockets.open(self._address)
--- a/forklift/shell/control_protocols.py
+++ b/forklift/shell/control_protocols.py
@@ -33,8 +33,7 @@
 
 # Number of peers that a new process asks for the complete membership.
 JOIN_PEERS = 3
-# Number of processes that learn of an idle target at a time. More than one, as
-# some may have no callers.
+# Number of processes to which an idle target is announced at a time.
 IDLE_ANNOUNCEMENT_FANOUT = 2
 
 
@@ -64,12 +63,31 @@
         targets: local_targets.LocalTargets,
         send: Callable[[str, messages.Control, bool], object],
         on_configuration: Callable[[bytes, str], None],
-        on_target_gone: Callable[[str], None],
+        on_target_leaving: Callable[[str], None],
         quarantine: quarantines.Quarantine | None = None,
         on_stored_evidence: Callable[[str, bytes], None] = lambda name, data: (
             None
         ),
     ):
+        """Creates the protocols of a process that knows no peers.
+
+        Args:
+            own: Description of this process.
+            rng: Random numbers for the protocols.
+            clock: Source of time.
+            active_catalog: The catalog that this process uses.
+            balancer: Load balancer that is told of membership changes.
+            targets: The local targets.
+            send: Sends a message to an address; the flag requests a new
+                connection.
+            on_configuration: Called with each configuration record that a peer
+                sends, and its source.
+            on_target_leaving: Called with the name of a local target that a
+                peer remembers as leaving.
+            quarantine: Quarantine of this process.
+            on_stored_evidence: Called with the name and the data of each
+                stored record of evidence.
+        """
         self.directory = membership.Directory(
             own, membership.FULL_MEMBERSHIP_LIMIT
         )
@@ -85,8 +103,8 @@
         self.has_joined = False
         self.store_data_lost = asyncio.Event()
         self.newest_announced_version: int | None = None
-        # Set once the store or a peer has sent the complete membership; before,
-        # only peers that have sent a message are known.
+        # Whether the store or a peer has sent the complete membership. Until
+        # then, only peers that have sent a message are known.
         self._size_known = False
         self._rng = rng
         self._clock = clock
@@ -95,9 +113,9 @@
         self._local_targets = targets
         self._send_to = send
         self._on_configuration = on_configuration
-        self._on_target_gone = on_target_gone
+        self._on_target_leaving = on_target_leaving
         self._on_stored_evidence = on_stored_evidence
-        # Targets that were leaving in the previous run of a process.
+        # Targets that were leaving when their process restarted.
         self._leaving_targets_by_process: dict[str, tuple[str, ...]] = {}
 
     @property
@@ -177,7 +195,8 @@
     def _handle_store_members(self, data_by_name: dict[str, bytes]) -> None:
         """Handles the records of processes and of evidence in the store.
 
-        Asks a few processes for the complete membership; gossip does the rest.
+        Asks a few processes for the complete membership; gossip reports the
+        changes after that.
         """
         self.has_joined = True
         self._size_known = True
@@ -226,7 +245,7 @@
             return
         if isinstance(message, messages.LeavingTargets):
             for name in message.names:
-                self._on_target_gone(name)
+                self._on_target_leaving(name)
             return
         if isinstance(message.sender, messages.ProcessInfo):
             self._send_leaving_reminder(message.sender)
@@ -287,7 +306,7 @@
             self._send_to(send.address, send.message, send.new_connection)
 
     def _apply_membership_changes(self) -> None:
-        """Applies membership changes to the load balancer."""
+        """Passes membership changes on to the load balancer."""
         for name, info in self.directory.take_changes():
             if info is None:
                 self._balancer.remove_process(name)
@@ -311,10 +330,10 @@
     def _target_info(
         self, controller: admission.Controller
     ) -> messages.TargetInfo:
-        """Returns the description of a target that is gossiped.
+        """Returns the data of a target that gossip distributes.
 
-        It has only what seldom changes. Ejection and load change within
-        seconds and are sent with responses and to processes that send requests.
+        These change seldom. Ejection and load change within seconds; they are
+        sent with responses and in load updates.
         """
         return messages.TargetInfo(
             controller.name,
--- a/forklift/shell/datagrams.py
+++ b/forklift/shell/datagrams.py
@@ -1,7 +1,7 @@
 """Small control messages between processes, each in one UDP datagram.
 
-There is no connection that could become unresponsive, and each message wakes
-the receiver only once. Datagrams may be lost; the protocols tolerate this.
+Datagrams need no connection, and each one wakes the receiver only once. They
+may be lost; the protocols tolerate this.
 """
 
 import asyncio
@@ -10,12 +10,12 @@
 
 from forklift.shell import tcp_stream
 
-# Fits in the usual MTU of 1,500 bytes without fragmentation, with room for the
-# headers of tunnels.
+# Maximum size of a message in bytes. Larger ones could be fragmented at the
+# usual MTU of 1,500 bytes.
 MAX_DATAGRAM_BYTES = 1_400
-# Bounds the datagrams read at a time, so that a flood can't block the loop.
+# Maximum number of datagrams read before the event loop runs other callbacks.
 MAX_RECEIVES_PER_WAKEUP = 64
-# Size of the kernel send and receive buffers: enough for a burst of all peers.
+# Size in bytes of the kernel send buffer and of the kernel receive buffer.
 BUFFER_BYTES = 1 << 20
 
 
@@ -74,6 +74,6 @@
             except BlockingIOError:
                 return
             except OSError:
-                # ICMP error for a datagram sent earlier.
+                # An ICMP error in response to a datagram that was sent before.
                 continue
             self._on_data(data)
--- a/forklift/shell/framing.py
+++ b/forklift/shell/framing.py
@@ -22,11 +22,11 @@
 NONCE_BYTES = 16
 # Bit of the length prefix that marks a compressed frame.
 _COMPRESSED_FLAG = 1 << 31
-# Frames with fewer bytes do not get smaller by compression.
+# Minimum size in bytes of a frame that is compressed.
 MIN_COMPRESS_BYTES = 64
-# A window of 4 KB spans about ten response heads, which are much alike. The
-# state of both directions takes 35 KB of memory for each connection.
+# Base-2 logarithm of the deflate window in bytes; negative for raw deflate.
 _WINDOW_BITS = -12
+# Memory level of the compressor, from 1 to 9.
 _MEMORY_LEVEL = 4
 # Trailer of each Z_SYNC_FLUSH block; removed before sending as in RFC 7692.
 _SYNC_FLUSH_MARKER = b"\0\0\xff\xff"
@@ -41,7 +41,7 @@
 
 
 class _FrameCompressor:
-    """Compresses frames with a deflate stream shared by the connection."""
+    """Compresses the frames of one connection with one deflate stream."""
 
     def __init__(self):
         self._stream = zlib.compressobj(
@@ -217,7 +217,11 @@
 
 
 class SendWindow:
-    """Flow-control credit for sending the body of one stream."""
+    """Flow-control credit for sending the body of one stream.
+
+    Attributes:
+        lost: Whether the stream is closed.
+    """
 
     def __init__(self, credit: int):
         self._credit = credit
@@ -256,7 +260,11 @@
 async def send_chunks(
     frames: FrameConnection, window: SendWindow, stream: int, chunk: bytes
 ) -> None:
-    """Sends part of a body as the credit of its stream allows."""
+    """Sends part of a body as the credit of its stream allows.
+
+    Raises:
+        PeerConnectionLost: The connection or the stream is closed.
+    """
     start = 0
     while start < len(chunk):
         size = await window.acquire(
--- a/forklift/shell/peer_client.py
+++ b/forklift/shell/peer_client.py
@@ -1,9 +1,9 @@
 """Client side of the connections between processes.
 
 Requests are multiplexed over one connection; stream ids are never reused.
-While a response is pending, keep-alive frames detect an unresponsive peer,
-or a connection that carries data one way only, long before the deadline of
-the request.
+While a response is pending, keep-alive frames detect a peer that does not
+reply, or a connection that fails in one direction, long before the deadline
+of the request.
 """
 
 import asyncio
@@ -19,9 +19,9 @@
 from forklift.shell import framing
 from forklift.shell import tcp_stream
 
-# Seconds for connection setup and the handshake.
+# Timeout of connection setup and handshake, in seconds.
 HANDSHAKE_TIMEOUT = 2.0
-# Seconds to wait for the reply to a fence request.
+# Timeout of a fence request, in seconds.
 FENCE_TIMEOUT = 0.5
 
 
@@ -36,7 +36,16 @@
 
 
 class _PendingRequest:
-    """A request sent to the peer that is still in progress."""
+    """A request sent to the peer that is still in progress.
+
+    Attributes:
+        idempotent: Whether the request can be retried elsewhere.
+        head: Future of the start of the response; a `Failure` if there is no
+            response, None if the peer is lost or unresponsive.
+        response_body: Body of the response; None before the response starts.
+        window: Credit for sending the body of the request.
+        failure: Failure that ended the request; None if there was none.
+    """
 
     def __init__(self, idempotent: bool):
         self.idempotent = idempotent
@@ -55,10 +64,10 @@
         peer_hello: Hello frame of the peer; None until it arrives.
         authenticated: Whether the peer has proved that it knows the key.
         handshake_done: Future that completes once the handshake is done.
-        on_reply: Called for each frame after the handshake.
+        on_reply: Called for each frame received after the handshake.
         on_lost: Called when the connection closes.
         on_load_update: Called with load updates of the peer's targets.
-        unresponsive: Set while the peer does not reply in time.
+        unresponsive: Event that is set while the peer does not reply in time.
         incarnation: Latest known incarnation of the peer.
         pending_count: Number of requests in progress.
     """
@@ -151,13 +160,14 @@
     async def fence(
         self, boot: int, seq: int, to_boot: int, forward_to: str = ""
     ) -> bool:
-        """Asks that a request must never start.
+        """Asks a process never to start a request that was sent to it.
 
         Args:
             boot: Boot id of the process that sent the request.
             seq: Sequence number of the request in that process.
             to_boot: Boot id of the process that the request was sent to.
-            forward_to: Name of that process if it is not this peer.
+            forward_to: Name of that process if the peer has to forward the
+                fence to it.
 
         Returns:
             Whether the request has not run and never will. False if it may
@@ -183,10 +193,11 @@
         self._frames.send(messages.KeepAlive(self._keepalive_number, False))
 
     def fail_idempotent(self) -> None:
-        """Fails idempotent requests as the peer is unresponsive.
+        """Fails idempotent requests, as the peer is unresponsive.
 
-        They can be retried elsewhere. Other requests stay pending, as their
-        responses may still arrive; without any, the connection is closed.
+        Idempotent requests can be retried elsewhere. Other requests stay
+        pending, as their responses may still arrive. If there are none, the
+        connection is closed.
         """
         self.unresponsive.set()
         for pending in self._pending_by_id.values():
@@ -231,7 +242,7 @@
         self, stream: int, pending: _PendingRequest, request: exchange.Request
     ) -> None:
         try:
-            # Reads none of the body until the peer grants credit.
+            # Waits for credit before reading the body.
             await pending.window.acquire(0)
             async for chunk in request.body.chunks():
                 await framing.send_chunks(
@@ -283,7 +294,7 @@
     def _handle_hello(self, hello: messages.Hello) -> None:
         self.peer_hello = hello
         self.incarnation = hello.incarnation
-        # Versions without support for compression leave the field unset.
+        # Older versions, which can't compress, leave the field unset.
         self._frames.compress = self._own_hello.compress and hello.compress
         digest = framing.compute_proof(
             self._key, self._own_hello.nonce, hello.nonce
--- a/forklift/shell/peer_connections.py
+++ b/forklift/shell/peer_connections.py
@@ -15,8 +15,8 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds that a request waits for a new connection, which takes milliseconds
-# within a region; after that, another target is tried.
+# Seconds that a request waits for a new connection before it tries another
+# target.
 CONNECTION_TIMEOUT = 0.25
 
 
@@ -36,6 +36,16 @@
         clock,
         on_load_update: Callable[[messages.LoadUpdate], None] | None = None,
     ):
+        """Creates an object without connections.
+
+        Args:
+            directory: Members, with the addresses to connect to.
+            peer_reachability: Records which peers are reachable.
+            make_hello: Returns the current hello frame of this process.
+            key: Shared key.
+            clock: Source of time.
+            on_load_update: Called with load updates of the peers' targets.
+        """
         self._on_load_update = on_load_update
         self._directory = directory
         self._reachability = peer_reachability
@@ -65,7 +75,7 @@
             raise errors.PeerUnreachable(process, "slow to open") from error
 
     def _start_opening(self, process: str) -> asyncio.Task:
-        """Starts to open a connection unless one is being opened."""
+        """Returns the task that opens a connection; starts it if necessary."""
         opening = self._opening_by_process.get(process)
         if opening is None:
             opening = asyncio.create_task(self._open(process))
@@ -130,7 +140,7 @@
         if member is None:
             self._mark_unreachable(process, "unknown", now())
             raise errors.PeerUnreachable(process, "not a known member")
-        # Within a failure domain, traffic costs less than compression.
+        # Within a failure domain, compression costs more than it saves.
         cross_domain = member.info.domain != self._directory.own.domain
         hello = msgspec.structs.replace(
             self._make_hello(), compress=cross_domain
--- a/forklift/shell/peer_server.py
+++ b/forklift/shell/peer_server.py
@@ -14,6 +14,7 @@
 from forklift.shell import framing
 from forklift.shell import tcp_stream
 
+# Runs a request of a peer and writes the response to the sink.
 Handler = Callable[
     ["ServerConnection", messages.RequestStart, exchange.Body, "ResponseSink"],
     Awaitable[exchange.Result],
@@ -21,7 +22,12 @@
 
 
 class ResponseSink:
-    """Sends a response to the peer, as an `exchange.Sink`."""
+    """An `exchange.Sink` that sends the response to the peer.
+
+    Attributes:
+        window: Credit for sending the body of the response.
+        has_started: Whether the start of the response was sent.
+    """
 
     def __init__(
         self, frames: framing.FrameConnection, stream: int, request_id: str
@@ -76,7 +82,7 @@
     """A connection on which a peer sends requests to this process.
 
     Attributes:
-        last_request_at: Loop time of the last request, seconds.
+        last_request_at: Loop time of the last request, in seconds.
         peer_hello: Hello frame of the peer; None until it arrives.
         authenticated: Whether the peer has proved that it knows the key.
     """
@@ -92,6 +98,18 @@
         forward_fence: Callable[[messages.FenceRequest], Awaitable[bool]]
         | None = None,
     ):
+        """Creates the server side of a new connection.
+
+        Args:
+            frames: The connection.
+            make_hello: Returns the current hello frame of this process.
+            key: Shared key.
+            handler: Handles the requests of the peer.
+            fence: Fences a request; returns whether it has not run.
+            on_rejected: Called when the peer is not authenticated.
+            forward_fence: Forwards a fence request to the process that it
+                names; returns whether the request has not run.
+        """
         self._forward_fence = forward_fence
         self._frames = frames
         self._own_hello = make_hello()
@@ -123,8 +141,8 @@
     def send_keepalive(self) -> None:
         """Sends an unsolicited keep-alive if a request is in progress.
 
-        Replying to keep-alives of the peer instead would wake both processes
-        twice as often.
+        The peer then does not have to ask for one, which would wake both
+        processes twice as often.
         """
         if self.busy and self.authenticated and not self._frames.lost:
             self._frames.send(messages.KeepAlive(0, True))
@@ -145,7 +163,7 @@
     def send_load_update(
         self, load_update: messages.LoadUpdate, since: float
     ) -> None:
-        """Sends the peer an unsolicited load update of a target.
+        """Sends the peer an unsolicited load update about a target.
 
         Args:
             load_update: The update.
@@ -227,7 +245,9 @@
         )
         if not hmac.compare_digest(expected, proof.digest):
             self._on_rejected()
-            raise messages.MalformedMessage("the peer has another shared key")
+            raise messages.MalformedMessage(
+                "the peer has a different shared key"
+            )
         self.authenticated = True
 
     def _handle_request(self, start: messages.RequestStart) -> None:
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -1,6 +1,6 @@
 """One process of the fleet: creates its components and connects them.
 
-A process is the ingress for callers and the only way to its local targets.
+A process is the ingress for callers and the proxy of its local targets.
 """
 
 import asyncio
@@ -44,21 +44,22 @@
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
 
-# Seconds between keep-alives to peers, and between periodic tasks that are not
-# urgent.
+# Seconds between two keep-alives to a peer.
 KEEPALIVE_INTERVAL = 0.2
+# Seconds between two runs of the periodic tasks that are not urgent.
 SLOW_TICK_INTERVAL = 0.5
-# Minimum seconds between two ticks that mean that the process was paused.
+# The process counts as paused if this many seconds pass between two checks.
 MIN_PAUSE_SECONDS = 1.0
-# Peers that sent a request within these seconds are told at once when a target
-# is ejected. Others learn it when the target's process rejects their request.
+# Seconds after the last request of a peer during which it is sent the new state
+# of a target at once. Other peers learn the state when this process rejects
+# their request.
 RECENT_SENDER_SECONDS = 3.0
 # Seconds without a request after which a target is announced as idle. Must
 # exceed the time within which an ingress process that has callers sends to an
 # idle target anyway.
 IDLE_TARGET_SECONDS = 1.2
-# States of targets that are announced when idle; a suspected one needs a trial
-# request.
+# States in which an idle target is announced. A suspected target needs a trial
+# request to be reinstated.
 _IDLE_STATES = (
     messages.TargetState.IN_SERVICE,
     messages.TargetState.SUSPECT,
@@ -68,7 +69,7 @@
 
 
 class Proxy:
-    """One process of the fleet, both as ingress and in front of its targets.
+    """A process of the fleet: ingress for callers, proxy of its local targets.
 
     Attributes:
         settings: Current settings.
@@ -80,7 +81,7 @@
         server_connections: Connections on which peers send requests.
         policy: Current policy.
         stopping: Whether the shutdown was requested.
-        stop_deadlines: Deadlines of the shutdown; None before the request.
+        stop_deadlines: Deadlines of the shutdown; None until it is requested.
         counters: Counters for metrics.
         active_catalog: The catalog that this process uses.
     """
@@ -90,7 +91,7 @@
         initial: settings.Settings,
         store: interfaces.Registry,
         decode,
-        names: header_fields.HeaderNames,
+        header_names: header_fields.HeaderNames,
     ):
         """Creates a process that is not running.
 
@@ -98,22 +99,22 @@
             initial: Settings to start with.
             store: The platform's store.
             decode: Decodes a configuration record.
-            names: Names of the platform's header fields.
+            header_names: Names of the platform's header fields.
         """
         self.settings = initial
         self.clock = clocks.SystemClock()
         self.boot = secrets.randbits(63)
         self._rng = random.Random(self.boot)
         self.store = store
-        store.on_lost = self._store_data_lost
-        self._names = names
+        store.on_lost = self._handle_store_data_lost
+        self._header_names = header_names
         self._key = initial.process.key.encode()
         self._tasks: set[asyncio.Task] = set()
         self._servers: list[asyncio.Server] = []
         self.server_connections: set[peer_server.ServerConnection] = set()
         self.policy = load_policy(initial)
         self._started_at = self.clock.monotonic()
-        self._last_tick = self._started_at
+        self._last_pause_check = self._started_at
         self._next_keepalive = self._started_at
         self._next_slow_tick = self._started_at
         self.incarnation = 1
@@ -127,14 +128,14 @@
             self.clock,
             lambda: self.control_protocols.newest_announced_version,
             lambda: self.control_protocols.is_alone,
-            self._catalog_activated,
+            self._apply_activated_catalog,
         )
         self.quarantine = quarantine.Quarantine()
-        self._build()
+        self._create_components()
 
     # Construction.
 
-    def _build(self) -> None:
+    def _create_components(self) -> None:
         own = self.settings.process
         self.ticker = ticker.Ticker(self._tick_safely, self._has_work)
         self.control_channel = control_channel.ControlChannel(
@@ -154,17 +155,17 @@
             self.settings.limits.far_cost,
         )
         self.local_targets = local_targets.LocalTargets(
-            self._names,
+            self._header_names,
             self.service_policy,
             self.clock,
-            self._target_changed,
+            self._announce_target_change,
             self.balancer.failure_percent,
             self.quarantine,
-            self._evidence_changed,
+            self._distribute_evidence,
         )
         self.target_registry = target_registry.TargetRegistry(
             self.settings,
-            self._names,
+            self._header_names,
             self.active_catalog,
             self.local_targets,
             self.clock,
@@ -212,10 +213,10 @@
         self.peer_connections = peer_connections.PeerConnections(
             self.directory,
             self.balancer.reachability,
-            self._hello,
+            self._make_hello,
             self._key,
             self.clock,
-            self._update_load,
+            self._apply_load_update,
         )
         self.forwarder = forwarding.Forwarder(
             own.name,
@@ -230,11 +231,11 @@
         )
         self.ingress = ingress.Ingress(
             ingress.Hooks(
-                header_names=self._names,
+                header_names=self._header_names,
                 limits=lambda: self.active_catalog.catalog.limits,
                 find_route=self._find_route,
                 is_configured=lambda: self.active_catalog.loaded,
-                handle=self._handle,
+                handle=self._handle_caller_request,
                 next_seq=self.forwarder.next_seq,
                 on_result=self._on_result,
                 origin_service=lambda: self.settings.platform.service,
@@ -360,7 +361,10 @@
         self.balancer.cross_domain_cost_per_kilobyte = changed.limits.far_cost
 
     def running(self) -> int:
-        """Number of requests in flight, from callers and from peers."""
+        """Number of requests in flight, from callers and from peers.
+
+        A peer connection counts once, however many requests it carries.
+        """
         from_peers = sum(
             1 for connection in self.server_connections if connection.busy
         )
@@ -369,7 +373,7 @@
     def pending_responses(self) -> int:
         """Number of responses that callers and peers still wait for.
 
-        Unlike `running`, includes requests that are still being read and
+        Unlike `running`, this includes requests that are still being read and
         responses that are not yet in the socket buffer.
         """
         from_peers = sum(
@@ -403,20 +407,20 @@
         """Returns the rules for a service."""
         return self.policy.service_policy(service)
 
-    def _store_data_lost(self) -> None:
+    def _handle_store_data_lost(self) -> None:
         """Repeats writes and reads after the store lost acknowledged data."""
         self.directory.update_own(store_epoch=self.store.epoch or 0)
         self.follower.restart_read()
         self.control_protocols.store_data_lost.set()
         self.quarantine_store.rewrite_all()
 
-    def _catalog_activated(
+    def _apply_activated_catalog(
         self, activated: catalog.Catalog, source: str
     ) -> None:
         """Applies a catalog that was just activated."""
         if source != configuration_loader.STORE_SOURCE:
             self.follower.handle_newer_peer_version(self.clock.monotonic())
-        # Sends the version to peers at once.
+        # The tick sends the version to peers.
         self.ticker.wake(0.0)
         self.target_registry.apply_catalog(activated)
         self.balancer.shortest_objective_by_service = (
@@ -424,7 +428,7 @@
         )
         self.directory.update_own(config=activated.version)
 
-    async def _handle(
+    async def _handle_caller_request(
         self, request: exchange.Request, sink: exchange.Sink
     ) -> exchange.Result:
         self._detect_pause()
@@ -452,14 +456,14 @@
             caller = current.callers.identify(keys, route.allows_anonymous)
         return ingress.RouteMatch(route, route.pick(self._rng), caller)
 
-    def _evidence_changed(self) -> None:
+    def _distribute_evidence(self) -> None:
         """Distributes evidence on requests that crash targets."""
-        # Peers must have it before the next attempt of such a request.
+        # Peers must know the evidence before the next attempt of the request.
         self.ticker.wake(0.0)
         self.quarantine_store.save()
 
-    def _target_changed(self, controller: admission.Controller) -> None:
-        """Tells peers that send to a target that its state changed."""
+    def _announce_target_change(self, controller: admission.Controller) -> None:
+        """Logs a change of a target and sends its load to recent senders."""
         load = controller.load(self.clock.monotonic())
         update = messages.LoadUpdate(controller.name, load)
         since = float("-inf")
@@ -482,13 +486,13 @@
         if controller.closed:
             self.control_protocols.publish_targets()
 
-    def _update_load(self, update: messages.LoadUpdate) -> None:
+    def _apply_load_update(self, update: messages.LoadUpdate) -> None:
         now = self.clock.monotonic()
         self.balancer.update_load(update.target, update.load, now)
 
     # Requests from peers.
 
-    async def _serve_peer(
+    async def _handle_peer_request(
         self,
         connection: peer_server.ServerConnection,
         start: messages.RequestStart,
@@ -499,7 +503,7 @@
         self.ticker.wake()
         now = self.clock.monotonic()
         if start.incarnation != self.incarnation:
-            # The request may have been delayed by a pause of this process.
+            # A pause of this process may have delayed the request.
             return exchange.not_run(Reason.STALE)
         request = exchange.Request(
             id=start.request_id,
@@ -534,7 +538,7 @@
         )
         return await self.local_targets.run(start.target, ticket, request, sink)
 
-    def _fence_request(self, fence: messages.FenceRequest) -> bool:
+    def _handle_fence(self, fence: messages.FenceRequest) -> bool:
         if fence.to_boot != self.boot:
             # An earlier run of this process may have started the request.
             return False
@@ -553,10 +557,10 @@
     def _accept_peer(self, frames: framing.FrameConnection) -> None:
         connection = peer_server.ServerConnection(
             frames,
-            self._hello,
+            self._make_hello,
             self._key,
-            self._serve_peer,
-            self._fence_request,
+            self._handle_peer_request,
+            self._handle_fence,
             lambda: _log.warning("peer_refused", peer=frames.peer_address),
             self.forwarder.dispatcher.relay_fence,
         )
@@ -569,7 +573,7 @@
         frames.on_lost = forget
         self.server_connections.add(connection)
 
-    def _hello(self) -> messages.Hello:
+    def _make_hello(self) -> messages.Hello:
         return messages.Hello(
             self.directory.own.name,
             self.boot,
@@ -694,14 +698,14 @@
             )
 
     def _detect_pause(self) -> None:
-        """Detects that this process was paused; must run before other work.
+        """Detects a pause of this process; must run before other work.
 
-        Messages that arrived during the pause may be older than they claim, so
-        a new incarnation makes them stale.
+        Requests that arrived during a pause have less time left than they say.
+        They name the previous incarnation and are rejected as stale.
         """
         now = self.clock.monotonic()
-        paused = now - self._last_tick
-        self._last_tick = now
+        paused = now - self._last_pause_check
+        self._last_pause_check = now
         if paused < MIN_PAUSE_SECONDS:
             return
         self.incarnation += 1
--- a/forklift/shell/push_sockets.py
+++ b/forklift/shell/push_sockets.py
@@ -15,21 +15,22 @@
 
 _log = structlog.get_logger(__name__)
 
-# The least recently used push socket is closed above this number.
+# Maximum number of push sockets. Above it, the least recently used one is
+# closed.
 MAX_SOCKETS = 96
-# Messages queued on one push socket.
+# Maximum number of messages queued on one push socket.
 MAX_QUEUED_MESSAGES = 64
-# Seconds before a connection may be replaced: many times longer than connection
-# setup, and half of the time in which a configuration version must spread.
+# Minimum age in seconds of a connection that may be replaced. Must be longer
+# than connection setup takes.
 MIN_CONNECTION_AGE = 1.0
 
-# Limits the threads of nng, which only do I/O, to 6; by default there are 30
-# (docs/DESIGN.md).
+# Parameters of nng for the initial and the maximum number of threads of each
+# kind. They limit nng to 6 threads in total.
 _TASKS, _EXPIRY, _POLLERS, _RESOLVERS = (1, 5), (2, 6), (3, 7), (4,)
-_THREADS = {2: _TASKS, 1: _EXPIRY + _POLLERS + _RESOLVERS}
-for _threads, _parameters in _THREADS.items():
+_PARAMETERS_BY_THREAD_COUNT = {2: _TASKS, 1: _EXPIRY + _POLLERS + _RESOLVERS}
+for _thread_count, _parameters in _PARAMETERS_BY_THREAD_COUNT.items():
     for _parameter in _parameters:
-        pynng._nng.lib.nng_init_set_parameter(_parameter, _threads)
+        pynng._nng.lib.nng_init_set_parameter(_parameter, _thread_count)
 
 
 class PushSockets:
@@ -106,8 +107,8 @@
     def _close_connection(self, address: str) -> None:
         """Closes a connection and drops the messages queued on it.
 
-        Recent connections are kept: they may still be opening, with messages
-        queued. Several messages to an unresponsive peer are often due at once.
+        A connection younger than MIN_CONNECTION_AGE is kept, as it may still be
+        opening and have messages queued.
         """
         now = asyncio.get_running_loop().time()
         opened = self._opened_at_by_address.get(address, -math.inf)
--- a/forklift/shell/quarantine_store.py
+++ b/forklift/shell/quarantine_store.py
@@ -27,7 +27,7 @@
 
 
 class QuarantineStore:
-    """Writes and reads the stored evidence for one process's quarantine."""
+    """Writes and loads the evidence of the quarantine of a process."""
 
     def __init__(
         self,
@@ -57,23 +57,23 @@
         self._clock = clock
         self._rng = rng
         self._spawn = spawn
-        # Ids of the crashes in the record of each request, which may still
-        # have to be written.
-        self._crashes_by_fingerprint: dict[bytes, frozenset[int]] = {}
+        # Ids of the crashes in the stored record of each request, or in the
+        # record that is being written.
+        self._crash_ids_by_fingerprint: dict[bytes, frozenset[int]] = {}
 
     def save(self) -> None:
         """Writes the evidence on all quarantined requests that changed.
 
-        The process that sees a crash calls this at once, whichever process
-        owns the records.
+        The process that sees a crash calls this at once, even if another
+        process owns the records.
         """
         now = self._clock.monotonic()
         for fingerprint in self._quarantine.quarantined(now):
             self._write_if_changed(fingerprint, now)
 
     def rewrite_all(self) -> None:
-        """Has all records written again after the store lost some."""
-        self._crashes_by_fingerprint.clear()
+        """Causes all records to be written again after the store lost some."""
+        self._crash_ids_by_fingerprint.clear()
 
     def tick(self) -> None:
         """Updates the records that this process owns.
@@ -86,8 +86,8 @@
         for fingerprint in quarantined:
             if self._owns(fingerprint):
                 self._write_if_changed(fingerprint, now)
-        for fingerprint in set(self._crashes_by_fingerprint) - quarantined:
-            del self._crashes_by_fingerprint[fingerprint]
+        for fingerprint in set(self._crash_ids_by_fingerprint) - quarantined:
+            del self._crash_ids_by_fingerprint[fingerprint]
             if self._owns(fingerprint):
                 self._spawn(self._write(fingerprint))
 
@@ -111,7 +111,7 @@
         evidence = messages.age_evidence(stored.evidence, age)
         self._quarantine.merge([evidence], self._clock.monotonic())
         crashes = frozenset(crash.id for crash in evidence.crashes)
-        self._crashes_by_fingerprint[evidence.fingerprint] = crashes
+        self._crash_ids_by_fingerprint[evidence.fingerprint] = crashes
 
     def _owns(self, fingerprint: bytes) -> bool:
         """Whether this process is responsible for the record of a request."""
@@ -122,8 +122,8 @@
         """Starts a write if the record is missing or lacks a crash."""
         evidence = self._quarantine.evidence(fingerprint, now)
         crashes = frozenset(crash.id for crash in evidence.crashes)
-        if self._crashes_by_fingerprint.get(fingerprint) != crashes:
-            self._crashes_by_fingerprint[fingerprint] = crashes
+        if self._crash_ids_by_fingerprint.get(fingerprint) != crashes:
+            self._crash_ids_by_fingerprint[fingerprint] = crashes
             self._spawn(self._write(fingerprint))
 
     async def _write(self, fingerprint: bytes) -> None:
--- a/forklift/shell/reload.py
+++ b/forklift/shell/reload.py
@@ -10,7 +10,7 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds between two checks of the file, which may change without a signal.
+# Seconds between two checks of the file.
 POLL_INTERVAL = 1.0
 
 
@@ -47,7 +47,7 @@
         Invalid settings are rejected, and the current ones stay in use.
 
         Returns:
-            Whether other settings are in use now.
+            Whether changed settings were applied.
         """
         try:
             text = settings.read_file(self._path)
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -17,7 +17,7 @@
 from forklift.shell import server
 
 _log = structlog.get_logger(__name__)
-# Allocations between two collections of the youngest generation.
+# Number of new objects after which the youngest generation is collected.
 GC_THRESHOLD = 20_000
 
 
@@ -54,15 +54,15 @@
     admin_server.on_stop_requested = request_stop
     watcher = reload.Watcher(path, initial, proxy.reload)
     loop = asyncio.get_running_loop()
-    # Installs the handlers before the process accepts callers: a signal's
-    # default action would end it together with their requests.
+    # Installs the handlers before the process accepts callers, as the default
+    # action of a signal would end the process and lose their requests.
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, request_stop)
     loop.add_signal_handler(signal.SIGHUP, watcher.check)
     await proxy.start()
     await _open_admin_server(admin_server)
-    await _open(heartbeats, initial.platform.heartbeats, "heartbeats")
-    await _open(readiness, initial.platform.ready, "ready")
+    await _open_listener(heartbeats, initial.platform.heartbeats, "heartbeats")
+    await _open_listener(readiness, initial.platform.ready, "ready")
     _log.info(
         "listening",
         caller=proxy.caller_address,
@@ -87,7 +87,9 @@
         _log.error("admin_unavailable", detail=str(error))
 
 
-async def _open(listener: server.Server, address: str, key: str) -> None:
+async def _open_listener(
+    listener: server.Server, address: str, key: str
+) -> None:
     try:
         await listener.open(address)
     except OSError as error:
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -9,13 +9,14 @@
 
 _log = structlog.get_logger(__name__)
 
-# Seconds after SIGTERM during which new connections are still accepted. The
-# platform stops sending callers after two failed readiness checks, which are a
-# second apart.
+# Seconds after SIGTERM during which new connections are still accepted. Must
+# exceed the time until the platform stops sending callers, which is after two
+# failed readiness checks.
 LAME_DUCK_SECONDS = 2.6
 # Fraction of the grace period after which the process exits, even if requests
 # are still in flight.
 USABLE_GRACE_FRACTION = 0.9
+# Seconds between two checks whether a step of the shutdown is complete.
 POLL_INTERVAL = 0.05
 # Seconds before the exit that are reserved for sending the last responses.
 FINAL_RESPONSE_SECONDS = 0.2
@@ -29,9 +30,10 @@
     """Deadlines of a shutdown, in monotonic seconds.
 
     Attributes:
-        reject_at: Requests that no target has are rejected from then on.
-        resolve_at: Requests that a target still has end then, with an unknown
-            outcome.
+        reject_at: From then on, requests that were not sent to a target are
+            rejected.
+        resolve_at: Requests that are still at a target end then, with an
+            unknown outcome.
         exit_at: The process exits, even if responses are pending.
     """
 
@@ -61,9 +63,9 @@
     """Returns the deadlines after a shutdown was requested again.
 
     The platform may count the grace period from the first or from the last
-    signal. Running requests get the time of the last one. Requests that no
-    target has are still rejected at the first deadline, as they would be lost
-    if the process was killed then.
+    signal. Requests at a target get the time from the last signal. Requests
+    that were not sent to a target are still rejected at the first deadline, as
+    they would be lost if the platform killed the process then.
 
     Args:
         current: Deadlines before this request.
@@ -77,8 +79,8 @@
 async def stop(proxy) -> None:
     """Shuts a process down gracefully.
 
-    Goes on accepting connections during the lame-duck time, as callers still
-    arrive, then waits until no response is pending or the deadline passes.
+    Accepts connections during the lame-duck time, as callers still arrive.
+    Then waits until no response is pending or the deadline passes.
 
     Args:
         proxy: The process, whose shutdown was requested.
--- a/forklift/shell/store_follower.py
+++ b/forklift/shell/store_follower.py
@@ -13,33 +13,36 @@
 
 _log = structlog.get_logger(__name__)
 
-# Mean duration of a long poll for a new configuration, in seconds. Every call
-# has a cost, so polls are long. A poll on a silently broken connection finds
-# out only when it ends: fewer readers poll more often, so that one of them
-# starts a new poll every POLL_SECONDS_PER_READER seconds and tells the others.
+# Maximum of the mean duration of a long poll, in seconds.
 MAX_POLL_SECONDS = 9.0
+# Minimum of the mean duration of a long poll, in seconds.
 MIN_POLL_SECONDS = 1.0
+# Mean duration of a long poll for each reader, in seconds: the more readers
+# there are, the longer each of them polls.
 POLL_SECONDS_PER_READER = 0.3
-# Relative jitter of a poll's duration, so that the polls don't end together.
+# Jitter of the duration of a poll, as a fraction of the mean.
 POLL_JITTER = 1 / 3
-# A new version ends the polls of all readers at once. To spread the next ones,
-# each reader shortens its poll to a random fraction, at least this one.
+# Minimum of the random fraction to which a reader shortens its next poll after
+# a new version has ended the polls of all readers at once.
 MIN_POLL_FRACTION = 0.02
-# Mean seconds between two reads of a process that is not a reader. Peers tell
-# it of new versions; this covers what no peer can tell.
+# Mean seconds between two reads by a process that is not a reader, in case its
+# peers do not send it a new version.
 REFRESH_INTERVAL = 60.0
-# Minimum seconds between two polls that are restarted because a peer had a
-# newer version.
+# Minimum seconds between two restarts of the poll after a peer sent a newer
+# version.
 RESTART_INTERVAL = 4.0
-# Backoff after a failed call, in seconds.
+# Maximum delay after the first failed call, in seconds; each further failure
+# doubles it.
 INITIAL_BACKOFF = 0.2
+# Limit of that maximum, in seconds.
 MAX_BACKOFF = 0.8
 # Seconds over which the processes spread their announcements after the store
-# lost them, so that they stay below the store's rate limit.
+# lost them.
 REANNOUNCE_WINDOW = 0.5
+# Seconds added to that window for each process, to respect the rate limit of
+# the store.
 REANNOUNCE_WINDOW_PER_PROCESS = 0.01
-# Maximum seconds between two announcements of a process: half the time after
-# which processes forget each other.
+# Maximum seconds between two announcements of a process.
 ANNOUNCE_INTERVAL = 300.0
 
 
@@ -70,7 +73,7 @@
 
     def __init__(
         self,
-        registry: interfaces.Registry,
+        store: interfaces.Registry,
         rng: random.Random,
         on_record: Callable[[bytes], None],
         reader_count: Callable[[], int] = lambda: 1,
@@ -79,24 +82,24 @@
         """Creates a follower that has read nothing.
 
         Args:
-            registry: The store.
+            store: Store that is read.
             rng: Random numbers for the jitter.
             on_record: Called with each configuration record.
             reader_count: Returns the number of processes that poll the store,
                 as far as known.
             is_reader: Returns whether this process is one of them.
         """
-        self._registry = registry
+        self._store = store
         self._rng = rng
         self._on_record = on_record
         self._reader_count = reader_count
         self._is_reader = is_reader
-        # Wakes a process that is not a reader: it must read now.
+        # Set when a process that is not a reader must read at once.
         self._read_now = asyncio.Event()
         self._backoff = Backoff(rng)
         self._restart_requested = asyncio.Event()
         self._restarted_at = -math.inf
-        # Whether a new version ended the last poll, as it did for all readers.
+        # Whether the last poll returned a new version.
         self._ended_by_version = False
         self.unavailable = False
 
@@ -124,7 +127,7 @@
                 self._on_record(result.record)
 
     def update_role(self) -> None:
-        """Starts reading if this process has become a reader."""
+        """Wakes the follower if this process has become a reader."""
         if self._is_reader():
             self._read_now.set()
         else:
@@ -138,10 +141,10 @@
             await asyncio.wait_for(self._read_now.wait(), seconds)
 
     def handle_newer_peer_version(self, now: float) -> None:
-        """Restarts the poll because a peer sent a version before the store.
+        """Restarts the poll after a peer sent a newer version than the store.
 
-        The poll may be on a silently broken connection, which would otherwise
-        go unnoticed until its end.
+        The connection of the poll may be silently broken, which would go
+        unnoticed until the poll ends.
 
         Args:
             now: Monotonic seconds.
@@ -176,7 +179,7 @@
             if read.done():
                 return read.result()
             raise errors.RegistryUnavailable(
-                "no answer before a peer sent a newer version or epoch"
+                "poll restarted, as a peer has a newer version or epoch"
             )
         finally:
             read.cancel()
@@ -194,9 +197,9 @@
 
     async def _read(self, position: int | None) -> interfaces.ConfigurationRead:
         if position is None:
-            return await self._registry.configuration()
+            return await self._store.configuration()
         wait = self._next_wait()
-        return await self._registry.next_configuration(position, wait)
+        return await self._store.next_configuration(position, wait)
 
     def _record_failure(self, error: errors.RegistryUnavailable) -> None:
         if not self.unavailable:
@@ -211,7 +214,7 @@
 
 
 async def join_fleet(
-    registry: interfaces.Registry,
+    store: interfaces.Registry,
     rng: random.Random,
     name: str,
     data: bytes,
@@ -221,12 +224,13 @@
 ) -> None:
     """Announces this process in the store and reads the members, repeatedly.
 
-    Repeats at ANNOUNCE_INTERVAL, because processes that were partitioned for
-    long have forgotten each other and can find each other only in the store.
-    Repeats sooner, after a random delay, if the store lost records.
+    Processes that were partitioned for a long time have forgotten each other
+    and can find each other only in the store. The announcement is therefore
+    repeated, at the latest after ANNOUNCE_INTERVAL, and after a short random
+    delay if the store has lost records.
 
     Args:
-        registry: The store.
+        store: Store that is read.
         rng: Random numbers for the jitter.
         name: Name of this process.
         data: Record of this process.
@@ -236,7 +240,7 @@
     """
     while True:
         records_lost.clear()
-        await _join_fleet_once(registry, rng, name, data, on_members)
+        await _join_fleet_once(store, rng, name, data, on_members)
         interval = ANNOUNCE_INTERVAL * (0.5 + rng.random() / 2)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(records_lost.wait(), interval)
@@ -248,7 +252,7 @@
 
 
 async def _join_fleet_once(
-    registry: interfaces.Registry,
+    store: interfaces.Registry,
     rng: random.Random,
     name: str,
     data: bytes,
@@ -259,9 +263,9 @@
     while True:
         try:
             if not announced:
-                await registry.announce(name, data)
+                await store.announce(name, data)
                 announced = True
-            on_members(await registry.members())
+            on_members(await store.members())
             return
         except errors.RegistryUnavailable as error:
             _log.info("join_failed", detail=str(error))
--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -1,4 +1,4 @@
-"""Registration of the local targets by heartbeats, leaves and health checks."""
+"""Registers local targets on their heartbeats and removes them."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,13 +18,14 @@
 
 _log = structlog.get_logger(__name__)
 
-# A target expires after this many missed heartbeats, plus the tolerance for a
-# late one in seconds.
+# Number of missed heartbeats after which a target expires.
 MISSED_HEARTBEATS = 3
+# Seconds added to the time after which a target expires, as heartbeats may be
+# late.
 HEARTBEAT_TOLERANCE = 3.5
-# Health checks by which a new process discovers its local target, and the
-# seconds between them.
+# Maximum number of health checks by which a new process discovers its target.
 DISCOVERY_ATTEMPTS = 3
+# Seconds between two of these health checks.
 DISCOVERY_RETRY_DELAY = 0.3
 # Seconds between two checks whether a configuration is loaded.
 CONFIGURATION_POLL_INTERVAL = 0.05
@@ -33,7 +34,7 @@
 
 
 class TargetRegistry:
-    """Adds local targets when they announce themselves; removes them again.
+    """Adds local targets that announce themselves; removes lost ones.
 
     Attributes:
         settings: Current settings of the process.
@@ -44,7 +45,7 @@
     def __init__(
         self,
         initial: settings.Settings,
-        names: header_fields.HeaderNames,
+        header_names: header_fields.HeaderNames,
         active_catalog: catalog.ActiveCatalog,
         targets: local_targets.LocalTargets,
         clock: clocks.SystemClock,
@@ -54,14 +55,14 @@
 
         Args:
             initial: Settings of the process.
-            names: Names of the platform's header fields.
+            header_names: Names of the platform's header fields.
             active_catalog: The catalog that this process uses.
             targets: The local targets, which this registry adds and removes.
             clock: Source of time.
             on_change: Called when a target was added, removed or renamed.
         """
         self.settings = initial
-        self._names = names
+        self._header_names = header_names
         self._active_catalog = active_catalog
         self._local_targets = targets
         self._clock = clock
@@ -80,9 +81,9 @@
     def record_heartbeat(self, heartbeat: heartbeats.Heartbeat) -> None:
         """Records a heartbeat and adds, replaces or drains its target."""
         now = self._clock.monotonic()
-        before = self._incarnations.current_name(heartbeat.incarnation.target)
+        previous = self._incarnations.current_name(heartbeat.incarnation.target)
         if not self._accepts_service(heartbeat.service):
-            # The earlier heartbeats of the target stay valid.
+            # Earlier heartbeats of the target stay in effect.
             invalid_input.record(
                 invalid_input.Source.HEARTBEAT,
                 f"the configuration has no service {heartbeat.service}",
@@ -95,8 +96,8 @@
         if kind is heartbeats.HeartbeatKind.LATE:
             return
         name = heartbeat.incarnation.name
-        if before is not None and before != name:
-            self._replace(before, name, kind)
+        if previous is not None and previous != name:
+            self._replace(previous, name, kind)
         self._last_seen_by_target[name] = now
         local_target = self._local_targets.by_name.get(name)
         if local_target is None:
@@ -120,9 +121,10 @@
         )
 
     def record_remembered_leave(self, name: str) -> None:
-        """Records that a peer remembers a target as leaving.
+        """Records a leave that was not announced to this run of the process.
 
-        The target announced it to an earlier run of this process.
+        The target announced the leave to an earlier run, or a new target has
+        its address.
 
         Args:
             name: Name of the target's incarnation.
@@ -168,22 +170,22 @@
         )
 
     def _replace(
-        self, before: str, name: str, kind: heartbeats.HeartbeatKind
+        self, previous: str, name: str, kind: heartbeats.HeartbeatKind
     ) -> None:
         """Replaces an incarnation by its successor, or renames it."""
-        if before not in self._local_targets.by_name:
+        if previous not in self._local_targets.by_name:
             return
         if kind is heartbeats.HeartbeatKind.FURTHER:
-            self._local_targets.rename(before, name)
-            self._last_seen_by_target.pop(before, None)
+            self._local_targets.rename(previous, name)
+            self._last_seen_by_target.pop(previous, None)
             self._on_change()
             return
-        _log.info("target_returned", target=name, before=before)
-        self._handle_crash(before)
-        self._remove(before)
+        _log.info("target_returned", target=name, before=previous)
+        self._handle_crash(previous)
+        self._remove(previous)
 
     def _handle_crash(self, name: str) -> None:
-        """Handles the end of a target that did not announce that it leaves."""
+        """Handles the end of a target that has not announced a leave."""
         local_target = self._local_targets.by_name.get(name)
         if local_target is not None:
             self._local_targets.handle_crash(local_target)
@@ -196,7 +198,7 @@
             self._local_targets.by_name.pop(name).pool.close_all()
 
     def pause_targets(self) -> None:
-        """Pauses all targets, also later ones, for the shutdown."""
+        """Pauses all current and future targets for the shutdown."""
         self.stopping = True
         for name in list(self._local_targets.by_name):
             self._local_targets.pause(name)
@@ -231,8 +233,8 @@
     async def discover_local_target(self) -> None:
         """Adds the configured local target if its health endpoint answers.
 
-        The next heartbeat of a running target may be more than a second away
-        when this process has restarted.
+        A process that has restarted would otherwise know its target only after
+        the target's next heartbeat.
         """
         platform = self.settings.platform
         if not platform.target or not platform.service:
@@ -246,7 +248,7 @@
             if self._local_targets.by_name or self.stopping or service is None:
                 return
             result = await health_probe.check(
-                platform.target, service.health_path, self._names
+                platform.target, service.health_path, self._header_names
             )
             usable = result is not None and result.target and result.slots
             if usable and result.healthy:
@@ -280,7 +282,7 @@
         name = heartbeat.incarnation.name
         for other, local_target in list(self._local_targets.by_name.items()):
             if local_target.pool.address == heartbeat.address and other != name:
-                # A new target took the address, so the other one is gone.
+                # The other target has ended, as a new one has its address.
                 self._handle_crash(other)
                 self.record_remembered_leave(other)
         service = self._active_catalog.catalog.services_by_name.get(
--- a/forklift/shell/tcp_stream.py
+++ b/forklift/shell/tcp_stream.py
@@ -4,9 +4,10 @@
 import socket
 from collections.abc import Callable
 
-# Bytes buffered before reading is paused.
+# Number of received and unread bytes above which reading is paused.
 MAX_READ_BUFFER_BYTES = 65_536
-# Longer than any request to a peer waits for its response.
+# Milliseconds without acknowledgment after which the kernel closes a
+# connection. Must exceed the time that a request to a peer may take.
 USER_TIMEOUT_MS = 8_000
 
 
@@ -147,7 +148,7 @@
                 self._read_waiter = None
         data = bytes(self._buffer)
         self._buffer.clear()
-        # Data has arrived in spite of the interruption.
+        # An error from `interrupt` does not apply to later reads.
         self._read_error = None
         if self._reading_paused and not self._lost:
             self._reading_paused = False
@@ -187,8 +188,8 @@
     def half_close(self) -> None:
         """Closes the sending side and discards further input.
 
-        Input is still read: closing a connection with unread bytes causes a
-        reset, and the other side may lose data that it has not read yet.
+        Input is still received, because closing a connection with unread bytes
+        causes a reset, and the other side may lose data that it has not read.
         """
         if self.transport is None or self.transport.is_closing():
             return
@@ -211,7 +212,7 @@
             self.transport.abort()
 
     def _stop_reading(self) -> None:
-        # A request read from now on would run without a way to respond.
+        # The response to a request that is read now could not be sent.
         self._read_closed = True
         self._buffer.clear()
         self._wake_reader()
--- a/forklift/shell/ticker.py
+++ b/forklift/shell/ticker.py
@@ -1,33 +1,32 @@
 """Periodic timer of a process, slower while the process is idle.
 
-Every wake-up costs CPU time that the targets on the same instance could use.
-An idle process therefore ticks seldom, and new work wakes it early.
+Each tick takes CPU time from the targets on the same instance. An idle process
+therefore ticks less often, and new work makes the next tick come sooner.
 """
 
 import asyncio
 from collections.abc import Callable
 
-# Seconds between two ticks while there is work. Timeouts that ticks detect
-# (overdue requests, expired waits, unreachable peers) span several ticks.
+# Seconds between two ticks while there is work.
 BUSY_INTERVAL = 0.1
 # Seconds between two ticks while there is no work. Must stay well below
-# `proxy.MIN_PAUSE_SECONDS`, or an idle process takes itself for paused.
+# `proxy.MIN_PAUSE_SECONDS`, or an idle process counts as paused.
 IDLE_INTERVAL = 0.25
 
 
 class Ticker:
     """Calls a function periodically."""
 
-    def __init__(self, tick: Callable[[], None], busy: Callable[[], bool]):
+    def __init__(self, tick: Callable[[], None], is_busy: Callable[[], bool]):
         """Creates a ticker that is not running.
 
         Args:
             tick: Called at every tick.
-            busy: Returns whether there is work, so that the next tick is due
+            is_busy: Returns whether there is work, so that the next tick is due
                 after the shorter interval.
         """
         self._tick = tick
-        self._busy = busy
+        self._is_busy = is_busy
         self._handle: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -59,5 +58,5 @@
 
     def _run(self) -> None:
         # Schedules first, as the tick may call `wake` or `stop`.
-        self._schedule(BUSY_INTERVAL if self._busy() else IDLE_INTERVAL)
+        self._schedule(BUSY_INTERVAL if self._is_busy() else IDLE_INTERVAL)
         self._tick()
--- a/test/test_control_channel.py
+++ b/test/test_control_channel.py
@@ -113,7 +113,7 @@
 
 
 def test_small_messages_need_no_connection():
-    """A connection to each peer costs much processor time in a large fleet."""
+    """In a large fleet, a connection to each peer would cost much CPU time."""
 
     async def run_test():
         async with pair() as (sender, receiver, received):
--- a/test/test_control_protocols.py
+++ b/test/test_control_protocols.py
@@ -1,4 +1,4 @@
-"""Protocols over control messages: versions, pings, reminders."""
+"""Protocols over control messages: configuration versions and pings."""
 
 import random
 import types
@@ -25,17 +25,17 @@
         self.active_catalog = catalog.ActiveCatalog()
         self.sent: list[messages.Control] = []
         rng = random.Random(1)
-        bounds = load_balancer.RetryBudgetLimits()
+        limits = load_balancer.RetryBudgetLimits()
         self.control_protocols = control_protocols.ControlProtocols(
             helper.info("own"),
             rng,
             self.clock,
             self.active_catalog,
             load_balancer.LoadBalancer(
-                "own", "d", rng, policy.BUILT_IN.service_policy, bounds
+                "own", "d", rng, policy.BUILT_IN.service_policy, limits
             ),
             types.SimpleNamespace(by_name={}),
-            lambda address, message, renew: self.sent.append(message),
+            lambda address, message, new_connection: self.sent.append(message),
             lambda record, source: None,
             lambda name: None,
         )
@@ -113,18 +113,18 @@
     receiver = gossip.Gossip(
         membership.Directory(helper.info("own")), random.Random(1)
     )
-    for again in (False, True):
-        ping = messages.Ping(helper.info("peer"), 1, 1.0, 0, (), again)
+    for is_retry in (False, True):
+        ping = messages.Ping(helper.info("peer"), 1, 1.0, 0, (), is_retry)
         (pong,) = receiver.receive(ping, 1.0)
-        assert pong.new_connection is again
+        assert pong.new_connection is is_retry
 
 
 def test_offered_version_is_announced_in_the_same_turn():
-    """With its age, so that peers do not wait for the store once more."""
+    """Peers learn its age, so they do not wait for the store once more."""
     simulated = fleet.Fleet(3)
     announced = []
-    simulated.send = lambda sender, receiver, message, renew: announced.append(
-        message
+    simulated.send = lambda sender, receiver, message, new_connection: (
+        announced.append(message)
     )
     offer = messages.CatalogOffer(
         messages.Sender("p1", "p1"), 2, zlib.compress(b"2"), 1.5
--- a/test/test_peer_client.py
+++ b/test/test_peer_client.py
@@ -33,8 +33,10 @@
     async def work():
         frames = framing.FrameConnection()
         frames.connection_made(Transport())
-        link = peer_client.ClientConnection(frames, hello(requested), b"key")
-        link.send_hello()
+        connection = peer_client.ClientConnection(
+            frames, hello(requested), b"key"
+        )
+        connection.send_hello()
         assert not frames.compress
         frames.on_frame(hello(accepted))
         assert frames.compress == (requested and accepted)
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -33,7 +33,7 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
+def short_delays(monkeypatch):
     """Shortens delays for the tests."""
     monkeypatch.setattr(store_follower, "INITIAL_BACKOFF", 0.05)
     monkeypatch.setattr(shutdown, "LAME_DUCK_SECONDS", 0.2)
--- a/test/test_serve.py
+++ b/test/test_serve.py
@@ -14,7 +14,7 @@
 
 
 def test_signal_right_after_the_start_is_handled(monkeypatch):
-    """Its default action would end the process together with its requests."""
+    """The default action of a signal would end the process and its requests."""
     original_start = proxy.Proxy.start
     unhandled = []
 
