--- a/forklift/shell/admin.py
+++ b/forklift/shell/admin.py
@@ -47,8 +47,9 @@
 def handles(method: str, path: str) -> Callable[[Handler], Handler]:
     """Registers a handler for a method and a path.
 
-    The first slash in `path` stands for a name: `targets/drain` registers a
-    handler for `/targets/NAME/drain`, and `targets/` one for `/targets/NAME`.
+    If `path` contains a slash, a name follows it in the URL: `targets/drain`
+    registers a handler for `/targets/NAME/drain`, and `targets/` one for
+    `/targets/NAME`.
     """
 
     def register(handler: Handler) -> Handler:
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -101,8 +101,8 @@
             "forklift.doubts",
             "Doubts raised about targets beside, by sign",
             lambda: [
-                (count, {"sign": sign})
-                for sign, count in proxy.counters.ejections_by_signal.items()
+                (count, {"sign": signal})
+                for signal, count in proxy.counters.ejections_by_signal.items()
             ],
         )
         self.add_counter(
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -1,4 +1,4 @@
-"""Pipelining, disconnects, limits and shutdown on connections of callers."""
+"""Connections of callers: pipelining, disconnects, limits and shutdown."""
 
 import asyncio
 import dataclasses
@@ -43,7 +43,7 @@
                 handle=self._handle,
                 next_seq=lambda: 1,
                 on_result=lambda *_: None,
-                origin_service=lambda: "beside",
+                origin_service=lambda: "local-service",
             ),
             10,
             self.clock,
@@ -143,7 +143,7 @@
         assert b"x-hop" not in fields
         assert b"x-origin-service" not in fields
         assert b"x-expected-target" not in fields
-        assert request.origin == "beside"
+        assert request.origin == "local-service"
         assert request.deadline == rig.clock.now + 1.5
 
     play(work)
