--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -60,7 +60,7 @@
     max_attempts: int
     allows_anonymous: bool = False
 
-    def pick(self, rng: random.Random) -> str:
+    def pick_service(self, rng: random.Random) -> str:
         """Chooses a service at random, by weight."""
         if len(self.weighted_services) == 1:
             return self.weighted_services[0].service
--- a/forklift/heartbeats.py
+++ b/forklift/heartbeats.py
@@ -236,9 +236,9 @@
             )
         if current is not None and not incarnation.started_ms:
             return self._end(current, now)
-        return self.record_remembered_leave(incarnation, now)
+        return self.end_incarnation(incarnation, now)
 
-    def record_remembered_leave(
+    def end_incarnation(
         self, incarnation: TargetIncarnation, now: float
     ) -> str | None:
         """Records that a peer remembers an incarnation as leaving.
--- a/forklift/latency.py
+++ b/forklift/latency.py
@@ -8,7 +8,7 @@
 import math
 
 # Initial median, as a fraction of the latency objective of the route.
-INITIAL_OBJECTIVE_SHARE = 1 / 3
+INITIAL_MEDIAN_FRACTION = 1 / 3
 # Initial standard deviation of the logarithm of the latency.
 INITIAL_SPREAD = 1.0
 # Weight of the initial estimate, in responses.
@@ -158,7 +158,7 @@
         distribution = self._distribution_by_route.pop(route, None)
         if distribution is None:
             distribution = Distribution(
-                INITIAL_OBJECTIVE_SHARE
+                INITIAL_MEDIAN_FRACTION
                 * max(MIN_SECONDS, min(objective, MAX_OBJECTIVE_SECONDS))
             )
         self._distribution_by_route[route] = distribution
--- a/forklift/limiter.py
+++ b/forklift/limiter.py
@@ -148,7 +148,7 @@
         """Share of this process; equal for all processes that may run."""
         if not self._fleet_size_known():
             return 0.0
-        return 1.0 / (1 + sum(1 for _ in self._possible_members()))
+        return 1.0 / (1 + sum(1 for _ in self._members_not_left()))
 
     def _has_ended(self, name: str, boot: int) -> bool:
         """Whether a run of a process is known to have left or restarted."""
@@ -160,7 +160,7 @@
         left = member.liveness is messages.Liveness.LEFT
         return left or member.info.boot != boot
 
-    def _possible_members(self):
+    def _members_not_left(self):
         """Yields other processes that have not left, reachable or not."""
         for name, member in self._directory.member_by_name.items():
             if member.liveness is not messages.Liveness.LEFT:
@@ -205,7 +205,7 @@
         return [
             info.name
             for info in self._directory.usable()
-            if not _is_draining(info)
+            if not _all_targets_paused(info)
             and (info.name == own or info.name not in self._unresponsive)
         ]
 
@@ -243,16 +243,16 @@
             shard,
             self._bounds,
             self._find_organisation,
-            self._expected,
+            self._possible_lease_holders,
             now,
         )
         self._allocator_by_shard[shard] = allocator
         return allocator
 
-    def _expected(self, now: float) -> list[str]:
+    def _possible_lease_holders(self, now: float) -> list[str]:
         """Names of processes that may still hold leases."""
         names = [self._directory.own.name]
-        for name, member in self._possible_members():
+        for name, member in self._members_not_left():
             dead = member.liveness is messages.Liveness.DEAD
             if not (
                 dead and now - member.since > allocators.DELEGATION_SECONDS
@@ -291,7 +291,7 @@
         allocator.accept_handover(given, now)
 
 
-def _is_draining(info: messages.ProcessInfo) -> bool:
+def _all_targets_paused(info: messages.ProcessInfo) -> bool:
     """Whether a process reports all its targets as paused."""
     paused = messages.TargetState.PAUSED
     states = [target.state for target in info.targets]
--- a/forklift/load_balancer.py
+++ b/forklift/load_balancer.py
@@ -58,7 +58,7 @@
 FREE_SLOT_MARGIN = 0.3
 # Cost of sending an idempotent request to an unhealthy target, as a fraction of
 # the value of the request.
-IDEMPOTENT_LOSS = 0.5
+IDEMPOTENT_FAILURE_COST = 0.5
 # Total size of the headers of a request and its response between processes.
 HEADER_KILOBYTES = 0.4
 # Weight of the latency reported with a response in our distribution for the
@@ -544,7 +544,7 @@
                 state=str(view.state(now)),
             )
         loss = (
-            IDEMPOTENT_LOSS
+            IDEMPOTENT_FAILURE_COST
             if requirements.idempotent
             else health.UNHEALTHY_FAILURE_RATE
         )
--- a/forklift/quarantine.py
+++ b/forklift/quarantine.py
@@ -325,18 +325,18 @@
         self._unsent[fingerprint] = more or self._unsent.get(fingerprint, False)
         self._digest = None
         if case.quarantined_until() is not None:
-            self._void_explained(fingerprint)
+            self._void_shared_crashes(fingerprint)
         self._enforce_case_limit()
 
-    def _void_explained(self, culprit: bytes) -> None:
+    def _void_shared_crashes(self, culprit: bytes) -> None:
         """Voids the crashes of a quarantined request for other requests."""
-        explained = self._case_by_fingerprint[culprit].crash_by_id
+        culprit_crash_by_id = self._case_by_fingerprint[culprit].crash_by_id
         for fingerprint, case in self._case_by_fingerprint.items():
             if fingerprint == culprit or case.quarantined_until() is not None:
                 continue
             crash_by_id = {
                 number: dataclasses.replace(
-                    one, void=one.void or number in explained
+                    one, void=one.void or number in culprit_crash_by_id
                 )
                 for number, one in case.crash_by_id.items()
             }
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -189,7 +189,7 @@
             self.local_targets,
             self.control_channel.send,
             self.configuration_loader.receive,
-            self.target_registry.record_remembered_leave,
+            self.target_registry.end_incarnation,
             self.quarantine,
             self.quarantine_store.load,
         )
@@ -454,7 +454,7 @@
         caller = None
         if current.callers is not None:
             caller = current.callers.identify(keys, route.allows_anonymous)
-        return ingress.RouteMatch(route, route.pick(self._rng), caller)
+        return ingress.RouteMatch(route, route.pick_service(self._rng), caller)
 
     def _distribute_evidence(self) -> None:
         """Distributes evidence on requests that crash targets."""
--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -120,7 +120,7 @@
             )
         )
 
-    def record_remembered_leave(self, name: str) -> None:
+    def end_incarnation(self, name: str) -> None:
         """Records a leave that was not announced to this run of the process.
 
         The target announced the leave to an earlier run, or a new target has
@@ -131,7 +131,7 @@
         """
         incarnation = heartbeats.parse_incarnation(name)
         self._leave(
-            self._incarnations.record_remembered_leave(
+            self._incarnations.end_incarnation(
                 incarnation, self._clock.monotonic()
             )
         )
@@ -284,7 +284,7 @@
             if local_target.pool.address == heartbeat.address and other != name:
                 # The other target has ended, as a new one has its address.
                 self._handle_crash(other)
-                self.record_remembered_leave(other)
+                self.end_incarnation(other)
         service = self._active_catalog.catalog.services_by_name.get(
             heartbeat.service
         )
--- a/test/test_heartbeats.py
+++ b/test/test_heartbeats.py
@@ -41,7 +41,7 @@
     def remembered_leave(
         self, incarnation: heartbeats.TargetIncarnation
     ) -> str | None:
-        return self.tracker.record_remembered_leave(incarnation, self.now)
+        return self.tracker.end_incarnation(incarnation, self.now)
 
     def health_check(self) -> bool:
         return self.tracker.record_health_check("t", self.now)
@@ -210,7 +210,7 @@
         tracker.record_heartbeat(
             heartbeats.TargetIncarnation(f"t{number}", 1), 1, float(number)
         )
-        tracker.record_remembered_leave(
+        tracker.end_incarnation(
             heartbeats.TargetIncarnation("t", number + 1), 0.0
         )
     assert len(tracker._current_by_target) == len(tracker._ended) == 3
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -134,7 +134,7 @@
         local_target = one.local_targets.by_name[NEW.name]
         announce(fleet, OLD, sequence=99, leaving=True)
         one.target_registry.record_leave(OLD)
-        one.target_registry.record_remembered_leave(OLD.name)
+        one.target_registry.end_incarnation(OLD.name)
         assert one.local_targets.by_name == {NEW.name: local_target}
         assert local_target.controller.state is State.IN_SERVICE
         assert (await fleet.ask()).status == 200
