--- a/forklift/admission.py
+++ b/forklift/admission.py
@@ -323,7 +323,7 @@
 
     @property
     def _exclusive_running(self) -> bool:
-        """Whether an exclusive request is running."""
+        """Whether a running request excludes all others from the target."""
         return any(run.ticket.exclusive for run in self._running_by_id.values())
 
     def _has_slot(self, ticket: Ticket) -> bool:
--- a/forklift/allocator.py
+++ b/forklift/allocator.py
@@ -149,7 +149,7 @@
         shard: int,
         bounds: rate_limits.Bounds,
         find_organisation: FindOrganisation,
-        expected: Callable[[float], Iterable[str]],
+        find_lease_holders: Callable[[float], Iterable[str]],
         now: float,
     ):
         """Creates an allocator without delegations.
@@ -159,15 +159,15 @@
             shard: Number of the shard.
             bounds: Permitted overshoot of the limits.
             find_organisation: Finds an organisation by its name.
-            expected: Names of the processes that may delegate shares or hold
-                leases at a time, monotonic seconds.
+            find_lease_holders: Returns the names of the processes that may
+                delegate shares or hold leases at a time, monotonic seconds.
             now: Monotonic seconds.
         """
         self._own = own
         self._shard = shard
         self._bounds = bounds
         self._find_organisation = find_organisation
-        self._expected = expected
+        self._find_lease_holders = find_lease_holders
         self._delegator_by_name: dict[str, _Delegator] = {}
         self._user_names_by_organisation: dict[str, set[str]] = {}
         self._pool_by_organisation: dict[str, _TokenPool] = {}
@@ -201,10 +201,10 @@
     def _all_delegated(self, now: float) -> bool:
         """Whether no process may hold a lease of another allocator.
 
-        If all expected processes delegate to this run, leases of earlier runs
-        of this process are no longer in use.
+        If all possible lease holders delegate to this run, leases of earlier
+        runs of this process are no longer in use.
         """
-        for name in self._expected(now):
+        for name in self._find_lease_holders(now):
             delegator = self._delegator_by_name.get(name)
             if (
                 delegator is None
@@ -391,7 +391,11 @@
     # Expiry and handover.
 
     def tick(self, now: float) -> None:
-        """Drops expired delegations, unused token pools and old runs."""
+        """Drops expired state.
+
+        This covers delegations, unused token pools, and the records of runs
+        that handed over to this allocator.
+        """
         for name, delegator in list(self._delegator_by_name.items()):
             ended = max(
                 delegator.heard_at + DELEGATION_SECONDS, delegator.expires_at
--- a/forklift/catalog.py
+++ b/forklift/catalog.py
@@ -61,7 +61,7 @@
     allows_anonymous: bool = False
 
     def pick_service(self, rng: random.Random) -> str:
-        """Chooses a service at random, by weight."""
+        """Returns the name of a service, chosen at random by weight."""
         if len(self.weighted_services) == 1:
             return self.weighted_services[0].service
         weights = [weighted.weight for weighted in self.weighted_services]
--- a/forklift/dissemination.py
+++ b/forklift/dissemination.py
@@ -259,7 +259,10 @@
     # Fetching.
 
     def _record_newer_peer(self, name: str, peer: _NewerPeer) -> None:
-        """Records a peer that has a newer version."""
+        """Records a peer from which a newer version can be requested.
+
+        If the peer is known, the earlier `active_since` is kept.
+        """
         known = self._newer_peer_by_name.get(name)
         if known is not None:
             # Keeps the time since which the peer has had any newer version.
--- a/forklift/gossip.py
+++ b/forklift/gossip.py
@@ -129,7 +129,7 @@
             rumors += self.directory.expire(now)
         for rumor in rumors:
             self.queue_rumor(rumor.info.name)
-        sends += self._gossip(now)
+        sends += self._gossip_if_due(now)
         if now >= self._next_ping:
             self._next_ping = now + PING_PERIOD
             sends += self._ping_next(now)
@@ -156,7 +156,7 @@
         self._transmits_by_name[name] = transmits
         self._has_rumors = True
 
-    def _gossip(self, now: float) -> list[Send]:
+    def _gossip_if_due(self, now: float) -> list[Send]:
         if not self._has_rumors or now < self._next_gossip:
             return []
         self._has_rumors = False
--- a/forklift/heartbeats.py
+++ b/forklift/heartbeats.py
@@ -190,7 +190,7 @@
             return HeartbeatKind.FURTHER
         if (
             incarnation.started_ms > current.incarnation.started_ms
-            or self._silent(current, now)
+            or self._no_heartbeat_expected(current, now)
         ):
             return self._begin(incarnation, sequence, now)
         return HeartbeatKind.LATE
@@ -241,10 +241,10 @@
     def end_incarnation(
         self, incarnation: TargetIncarnation, now: float
     ) -> str | None:
-        """Records that a peer remembers an incarnation as leaving.
+        """Ends an incarnation that has left or is leaving.
 
         Args:
-            incarnation: The incarnation that leaves.
+            incarnation: The incarnation to end.
             now: Monotonic seconds.
 
         Returns:
@@ -278,7 +278,9 @@
         self._keep(_CurrentIncarnation(incarnation, now, now, sequence))
         return HeartbeatKind.FIRST
 
-    def _silent(self, current: _CurrentIncarnation, now: float) -> bool:
+    def _no_heartbeat_expected(
+        self, current: _CurrentIncarnation, now: float
+    ) -> bool:
         """Whether no heartbeat of this or an earlier run is expected."""
         return (
             now - current.last > self.max_delay
--- a/forklift/interfaces.py
+++ b/forklift/interfaces.py
@@ -71,12 +71,12 @@
         """
 
     async def publish(self, data: bytes, position: int) -> bool:
-        """Writes a configuration unless a newer record exists.
+        """Writes a configuration if no record was added since the last read.
 
         Args:
             data: Configuration record.
-            position: Position from the read on which the new record is based.
-                Nothing is written if a record was added since.
+            position: End position returned by the read that preceded this
+                write. Nothing is written if any record was added after it.
 
         Returns:
             Whether the configuration was written.
--- a/forklift/limiter.py
+++ b/forklift/limiter.py
@@ -200,7 +200,7 @@
         self._unresponsive &= set(self._directory.member_by_name)
 
     def _allocator_candidates(self) -> list[str]:
-        """Names of usable processes that answer and are not draining."""
+        """Names of usable processes that answer and are not stopping."""
         own = self._directory.own.name
         return [
             info.name
--- a/forklift/membership.py
+++ b/forklift/membership.py
@@ -307,7 +307,9 @@
 
 
 def _hash(liveness: Liveness, info: messages.ProcessInfo) -> int:
-    # Excludes values that each heartbeat updates, as they need no sync.
+    # Each ping carries the description of its sender. The hash leaves out
+    # `info.version` and the fields that change with it alone, such as
+    # `info.config`; a difference in them needs no sync.
     states = sum(target.version for target in info.targets)
     parts = (info.name, info.boot, info.incarnation, states, int(liveness))
     text = str(parts)
--- a/forklift/quarantine.py
+++ b/forklift/quarantine.py
@@ -80,16 +80,16 @@
     crash_by_id: dict[int, Crash]
 
     @property
-    def valid(self) -> list[Crash]:
+    def valid_crashes(self) -> list[Crash]:
         """Crashes that are not void, oldest first."""
-        return [one for one in self._all if not one.void]
+        return [one for one in self._crashes_by_time if not one.void]
 
     @property
-    def _all(self) -> list[Crash]:
+    def _crashes_by_time(self) -> list[Crash]:
         return sorted(self.crash_by_id.values(), key=lambda one: one.at)
 
     @property
-    def last(self) -> float:
+    def last_crash_at(self) -> float:
         """Time of the last crash, void or not, monotonic seconds."""
         return max(one.at for one in self.crash_by_id.values())
 
@@ -97,17 +97,20 @@
     def weight(self) -> int:
         """Weight of all crashes that are not void."""
         return sum(
-            SOLE_REQUEST_WEIGHT if one.alone else 1 for one in self.valid
+            SOLE_REQUEST_WEIGHT if one.alone else 1
+            for one in self.valid_crashes
         )
 
     def quarantined_until(self) -> float | None:
         """End of the quarantine, monotonic seconds; None if there is none."""
-        return _quarantine_end(self.valid)
+        return _quarantine_end(self.valid_crashes)
 
     def expires_at(self) -> float:
         """Time at which the evidence expires, monotonic seconds."""
-        release = _quarantine_end(self._all)
-        return (self.last if release is None else release) + RETENTION_SECONDS
+        release = _quarantine_end(self._crashes_by_time)
+        return (
+            self.last_crash_at if release is None else release
+        ) + RETENTION_SECONDS
 
 
 def _quarantine_end(crashes: list[Crash]) -> float | None:
@@ -167,7 +170,7 @@
     def verdict(self, fingerprint: bytes, now: float) -> Verdict:
         """Returns the verdict on a request."""
         case = self._case_by_fingerprint.get(fingerprint)
-        if case is None or not case.valid or now >= case.expires_at():
+        if case is None or not case.valid_crashes or now >= case.expires_at():
             return Verdict.CLEAR
         until = case.quarantined_until()
         if until is not None and now < until:
@@ -222,7 +225,7 @@
         if len(self._success_at) > MAX_RECENT_SUCCESSES:
             self._success_at.popitem(last=False)
         case = self._case_by_fingerprint.get(fingerprint)
-        if case is not None and case.valid:
+        if case is not None and case.valid_crashes:
             self._add(fingerprint, case.crash_by_id, now)
 
     # Exchange with other processes.
@@ -329,7 +332,13 @@
         self._enforce_case_limit()
 
     def _void_shared_crashes(self, culprit: bytes) -> None:
-        """Voids the crashes of a quarantined request for other requests."""
+        """Voids the crashes of a quarantined request in other cases.
+
+        Cases that are quarantined themselves are left unchanged.
+
+        Args:
+            culprit: Fingerprint of the quarantined request.
+        """
         culprit_crash_by_id = self._case_by_fingerprint[culprit].crash_by_id
         for fingerprint, case in self._case_by_fingerprint.items():
             if fingerprint == culprit or case.quarantined_until() is not None:
@@ -354,7 +363,7 @@
             case_by_fingerprint,
             key=lambda one: (
                 case_by_fingerprint[one].weight,
-                case_by_fingerprint[one].last,
+                case_by_fingerprint[one].last_crash_at,
             ),
         )
         del case_by_fingerprint[weakest]
--- a/forklift/reachability.py
+++ b/forklift/reachability.py
@@ -22,8 +22,8 @@
         unreachable: Whether no requests may be sent to it.
         next_heartbeat_at: Monotonic seconds at which the next heartbeat is
             due while the process is unreachable.
-        reply_expected_since: Monotonic seconds since which a reply is due;
-            None if none is.
+        reply_expected_since: Monotonic seconds since which a reply is expected;
+            None if no reply is expected.
         cause: Cause of the last failure.
     """
 
--- a/forklift/routing.py
+++ b/forklift/routing.py
@@ -14,8 +14,8 @@
 
 R = TypeVar("R", bound="Routable")
 ANY_HOST = "*"
-# Paths are matched by fewer leading segments than this number.
-MAX_DEPTH = 32
+# Only fewer leading segments of a path than this number are matched.
+MAX_PATH_DEPTH = 32
 
 
 @dataclasses.dataclass(frozen=True)
@@ -113,7 +113,7 @@
     ['/a/b', '/a/', '/a', '/']
     """
     path = path.partition("?")[0]
-    segments = path.split("/", MAX_DEPTH)[1:MAX_DEPTH]
+    segments = path.split("/", MAX_PATH_DEPTH)[1:MAX_PATH_DEPTH]
     prefixes = ["/"]
     prefix = ""
     for index, segment in enumerate(segments):
--- a/test/test_heartbeats.py
+++ b/test/test_heartbeats.py
@@ -38,7 +38,7 @@
     def leave(self, incarnation: heartbeats.TargetIncarnation) -> str | None:
         return self.tracker.record_leave(incarnation, self.now)
 
-    def remembered_leave(
+    def end_incarnation(
         self, incarnation: heartbeats.TargetIncarnation
     ) -> str | None:
         return self.tracker.end_incarnation(incarnation, self.now)
@@ -94,10 +94,10 @@
     assert events.heartbeat(NEW) is FURTHER
 
 
-def test_remembered_leave_of_an_earlier_incarnation_is_ignored():
+def test_end_of_an_earlier_incarnation_is_ignored():
     events = Events()
     events.heartbeat(NEW)
-    assert events.remembered_leave(OLD) is None
+    assert events.end_incarnation(OLD) is None
     assert events.heartbeat(NEW) is FURTHER
 
 
@@ -180,18 +180,18 @@
     assert events.after(1.0).heartbeat(OLD, 41) is STALE
 
 
-def test_remembered_leave_applies_to_target_found_by_health_check():
+def test_end_applies_to_target_found_by_health_check():
     """Its incarnation is unknown before the first heartbeat."""
     events = Events()
     events.health_check()
-    assert events.remembered_leave(OLD) == "t"
+    assert events.end_incarnation(OLD) == "t"
     assert events.after(1.0).heartbeat(OLD) is STALE
     assert events.heartbeat(NEW) is FIRST
 
 
-def test_health_check_is_ignored_after_a_remembered_leave():
+def test_health_check_is_ignored_after_an_incarnation_ended():
     events = Events()
-    events.remembered_leave(OLD)
+    events.end_incarnation(OLD)
     assert not events.health_check()
     assert events.heartbeat(NEW) is FIRST
 
