--- a/test/known_red.py
+++ b/test/known_red.py
@@ -12,12 +12,12 @@
 
 FILE = "KNOWN-RED.txt"
 # Lines that the list may hold: more would hide what is broken.
-MOST = 3
+MAX_ENTRIES = 3
 # Options that leave files out of a run of the whole suite.
-PARTIAL = ("ignore", "ignore_glob", "lf")
-FAILS = "still fails"
-PASSES = "passes now: take it off the list"
-PARTLY = "passes as far as it ran"
+PARTIAL_RUN_OPTIONS = ("ignore", "ignore_glob", "lf")
+STILL_FAILS = "still fails"
+NOW_PASSES = "passes now: take it off the list"
+PASSES_IN_PART = "passes as far as it ran"
 NOT_RUN = "not run"
 
 
@@ -49,9 +49,9 @@
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip() and not line.startswith("#"):
             entries.append(_parse_line(number, line))
-    if len(entries) > MOST:
+    if len(entries) > MAX_ENTRIES:
         raise ValueError(
-            f"{FILE} has {len(entries)} lines and may have {MOST}; "
+            f"{FILE} has {len(entries)} lines and may have {MAX_ENTRIES}; "
             "mend some of the tests first"
         )
     return tuple(entries)
@@ -185,14 +185,20 @@
         ]
         fates = [self._outcomes_by_test[test] for test in tests]
         if any("failed" in fate for fate in fates):
-            return FAILS
+            return STILL_FAILS
         if not any("passed" in fate for fate in fates):
             return NOT_RUN
-        return PASSES if all(f == {"passed"} for f in fates) else PARTLY
+        return (
+            NOW_PASSES
+            if all(f == {"passed"} for f in fates)
+            else PASSES_IN_PART
+        )
 
 
 def _is_whole(config: pytest.Config) -> bool:
     """Whether all files of the suite are collected."""
     if config.args_source is not pytest.Config.ArgsSource.TESTPATHS:
         return False
-    return not any(config.getoption(option, None) for option in PARTIAL)
+    return not any(
+        config.getoption(option, None) for option in PARTIAL_RUN_OPTIONS
+    )
--- /dev/null
+++ b/test/load_simulation.py
@@ -0,0 +1,207 @@
+"""Sends a load to admission controllers, on simulated time: no sockets, no loop.
+
+Requests come at given times and walk over the gates as their entries have them
+do; what a gate lets in takes a drawn time, or hangs to its deadline where its
+target is in a bad phase.
+"""
+
+import dataclasses
+import heapq
+import itertools
+import random
+from collections.abc import Callable
+
+from forklift import admission
+from forklift import health
+from forklift import retries
+from forklift.shell import ticker
+
+Signal = health.Signal
+TICK_SECONDS = ticker.BUSY_INTERVAL
+# Seconds from one gate to the next.
+RETRY_DELAY_SECONDS = 0.002
+
+
+@dataclasses.dataclass(frozen=True)
+class RequestKind:
+    """A kind of request.
+
+    Attributes:
+        route: Its name.
+        median: Seconds that it usually takes.
+        objective: Seconds within which an answer has its full worth.
+        timeout: Seconds after which it ends.
+        idempotent: Whether a second run does no harm.
+        priority: Rank; 0 is the most urgent.
+    """
+
+    route: str
+    median: float
+    objective: float
+    timeout: float
+    idempotent: bool = False
+    priority: int = 1
+
+
+@dataclasses.dataclass
+class RequestOutcome:
+    """What became of one request.
+
+    Attributes:
+        kind: Its kind.
+        came: When it came, seconds.
+        ended: When it was answered, refused or lost.
+        served: Whether it was answered with success.
+        hung: Whether a target ran it and never answered.
+    """
+
+    kind: RequestKind
+    arrived_at: float
+    ended_at: float = 0.0
+    served: bool = False
+    hung: bool = False
+
+    @property
+    def met_objective(self) -> bool:
+        """Whether its answer had its full worth."""
+        return (
+            self.served
+            and self.ended_at - self.arrived_at <= self.kind.objective
+        )
+
+
+class Simulation:
+    """Gates of one service under a load."""
+
+    def __init__(
+        self,
+        controllers: int,
+        slots: int,
+        is_unhealthy: Callable[[int, float], bool],
+    ):
+        self.controllers = [
+            admission.Controller(f"t{n}", "s", slots)
+            for n in range(controllers)
+        ]
+        self.outcomes: list[RequestOutcome] = []
+        self._is_unhealthy = is_unhealthy
+        self._rng = random.Random(11)
+        self._events: list[tuple[float, int, Callable[[float], None]]] = []
+        self._ids = itertools.count()
+        self._pending_by_id: dict[
+            tuple[int, int],
+            tuple[RequestOutcome, retries.RetryState, admission.Controller],
+        ] = {}
+
+    def add_request(self, at: float, kind: RequestKind) -> None:
+        """A request comes."""
+        outcome = RequestOutcome(kind, at)
+        self.outcomes.append(outcome)
+        retry_state = retries.RetryState(at, at + kind.timeout)
+        self._schedule(at, lambda now: self._submit(outcome, retry_state, now))
+
+    def run(self, until: float) -> None:
+        """Plays all that comes until a time, and what follows from it."""
+        for step in range(int(until / TICK_SECONDS)):
+            self._schedule(step * TICK_SECONDS, self._tick)
+        while self._events:
+            now, _, callback = heapq.heappop(self._events)
+            callback(now)
+
+    def _schedule(self, at: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._ids), callback))
+
+    def _tick(self, now: float) -> None:
+        for controller in self.controllers:
+            self._handle_decisions(controller.tick(now), now)
+
+    def _submit(
+        self,
+        outcome: RequestOutcome,
+        retry_state: retries.RetryState,
+        now: float,
+    ) -> None:
+        kind, soft_deadline = (
+            outcome.kind,
+            outcome.arrived_at + outcome.kind.objective,
+        )
+        candidates = [
+            f for f in self.controllers if f.name not in retry_state.refused
+        ]
+        if not candidates:
+            outcome.ended_at = now
+            if retry_state.relax_requirements():
+                self._schedule(
+                    now, lambda at: self._submit(outcome, retry_state, at)
+                )
+            return
+        controller = self._rng.choice(candidates)
+        distribution = controller.latencies.for_route(
+            kind.route, kind.objective
+        )
+        ticket = admission.Ticket(
+            (1, next(self._ids)),
+            kind.idempotent,
+            kind.priority,
+            retry_state.deadline,
+            retry_state.required_health(now),
+            soft_deadline,
+            kind.route,
+            wait=retry_state.wait,
+            start_by=retry_state.start_by(distribution, soft_deadline),
+        )
+        self._pending_by_id[ticket.id] = (outcome, retry_state, controller)
+        self._handle_decisions([controller.admit(ticket, now)], now)
+
+    def _handle_decisions(
+        self, decisions: list[admission.Decision], now: float
+    ) -> None:
+        for decision in decisions:
+            if isinstance(decision, admission.Queued):
+                continue
+            pending = self._pending_by_id.pop(decision.ticket.id)
+            if isinstance(decision, admission.Started):
+                self._start(*pending, decision.ticket, now)
+            else:
+                self._handle_refusal(*pending, decision, now)
+
+    def _handle_refusal(
+        self,
+        outcome: RequestOutcome,
+        retry_state: retries.RetryState,
+        controller: admission.Controller,
+        decision: admission.Refused,
+        now: float,
+    ) -> None:
+        outcome.ended_at = now
+        retry_state.record_not_run(controller.name, decision.reason)
+        if not retry_state.exhausted:
+            retry_at = now + RETRY_DELAY_SECONDS
+            self._schedule(
+                retry_at, lambda at: self._submit(outcome, retry_state, at)
+            )
+
+    def _start(
+        self,
+        outcome: RequestOutcome,
+        retry_state: retries.RetryState,
+        controller: admission.Controller,
+        ticket: admission.Ticket,
+        now: float,
+    ) -> None:
+        retry_state.record_run(controller.name)
+        duration = outcome.kind.median * self._rng.lognormvariate(0.0, 0.5)
+        will_hang = self._is_unhealthy(self.controllers.index(controller), now)
+        will_hang = (
+            will_hang and self._rng.random() < health.UNHEALTHY_FAILURE_RATE
+        )
+        times_out = will_hang or now + duration > ticket.deadline
+        signal = None if times_out else Signal.SUCCESS
+
+        def finish(at: float) -> None:
+            outcome.ended_at = at
+            outcome.served = not times_out
+            outcome.hung = will_hang
+            self._handle_decisions(controller.finish(ticket, signal, at), at)
+
+        self._schedule(ticket.deadline if times_out else now + duration, finish)
--- a/test/processes.py
+++ b/test/processes.py
@@ -6,15 +6,15 @@
 from forklift import header_fields
 from forklift import heartbeats
 from forklift import settings
-from forklift.platform import store as adapter
+from forklift.platform import store as platform_store
 from forklift.shell import client
 from forklift.shell import proxy
 from forklift.shell import server
 from forklift_lab import scripted
-from forklift_lab import store as standin
+from forklift_lab import store as lab_store
 from test import helper
 
-ANY = "127.0.0.1:0"
+ANY_PORT = "127.0.0.1:0"
 
 
 def route(kind: str = "idempotent", **changes) -> dict:
@@ -40,14 +40,14 @@
     def __init__(self, scripts: list[list[str]], first: dict | None = None):
         self.scripts = scripts
         self.first = record(1) if first is None else first
-        self.store = standin.Store()
+        self.store = lab_store.Store()
         self.proxies: list[proxy.Proxy] = []
         self.targets: list[scripted.ScriptedTarget] = []
         self._stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> "Fleet":
         self.server = server.Server(self.store.handle)
-        await self.server.open(ANY)
+        await self.server.open(ANY_PORT)
         if self.first:
             self.store.configure(self.first)
         for number, script in enumerate(self.scripts):
@@ -55,37 +55,42 @@
             self.targets.append(await self._stack.enter_async_context(target))
             await self.start(number)
         if self.first:
-            await helper.until(self.meets)
+            await helper.until(self.is_ready)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for one in self.proxies:
-            await one.close()
+        for process in self.proxies:
+            await process.close()
         await self._stack.aclose()
         self.server.abort()
 
     async def start(self, number: int) -> proxy.Proxy:
-        process = settings.Process(f"p{number}", "d", ANY, ANY, ANY, ANY)
+        process_settings = settings.Process(
+            f"p{number}", "d", ANY_PORT, ANY_PORT, ANY_PORT, ANY_PORT
+        )
         platform = settings.Platform(
-            self.server.address, ANY, ANY, service=f"beside-{number}"
+            self.server.address, ANY_PORT, ANY_PORT, service=f"beside-{number}"
         )
-        read = settings.Settings(
-            process,
+        loaded_settings = settings.Settings(
+            process_settings,
             platform,
             settings.Limits(),
             settings.Budget(1.0, 10.0, 100.0),
         )
-        store = adapter.Store(self.server.address)
-        one = proxy.Proxy(
-            read, store, adapter.decode_configuration, header_fields.DEFAULT
+        store = platform_store.Store(self.server.address)
+        process = proxy.Proxy(
+            loaded_settings,
+            store,
+            platform_store.decode_configuration,
+            header_fields.DEFAULT,
         )
-        await one.start()
-        self.proxies.append(one)
-        self.announce(one, number)
-        return one
+        await process.start()
+        self.proxies.append(process)
+        self.announce(process, number)
+        return process
 
-    def announce(self, one: proxy.Proxy, number: int, **changes) -> None:
-        said = heartbeats.Heartbeat(
+    def announce(self, process: proxy.Proxy, number: int, **changes) -> None:
+        heartbeat = heartbeats.Heartbeat(
             heartbeats.TargetIncarnation(f"t{number}"),
             "s",
             self.targets[number].address,
@@ -94,23 +99,23 @@
             False,
             1,
         )
-        one.target_registry.record_heartbeat(
-            dataclasses.replace(said, **changes)
+        process.target_registry.record_heartbeat(
+            dataclasses.replace(heartbeat, **changes)
         )
 
-    def meets(self) -> bool:
+    def is_ready(self) -> bool:
         return all(
-            one.active_catalog.loaded
-            and len(one.balancer.views("s")) == len(self.targets)
-            for one in self.proxies
+            process.active_catalog.loaded
+            and len(process.balancer.views("s")) == len(self.targets)
+            for process in self.proxies
         )
 
     async def ask(self, number: int = 0, path: str = "/a/") -> client.Response:
-        asker = client.Client(self.proxies[number].caller_address)
+        caller = client.Client(self.proxies[number].caller_address)
         try:
-            return await asker.request("GET", path, host="h", timeout=30.0)
+            return await caller.request("GET", path, host="h", timeout=30.0)
         finally:
-            asker.close()
+            caller.close()
 
     def runs(self) -> int:
         return sum(len(target.received) for target in self.targets)
--- a/test/test_control_protocols.py
+++ b/test/test_control_protocols.py
@@ -103,10 +103,10 @@
 
 def test_unanswered_ping_is_repeated_over_a_new_connection():
     """An unresponsive connection accepts messages, but loses them."""
-    simulated = fleet.Fleet(2)
-    simulated.fall_silent()
+    simulated = fleet.SimulatedFleet(2)
+    simulated.blackhole_connections()
     simulated.run(2 * (gossip.PING_PERIOD + gossip.PONG_TIMEOUT))
-    assert simulated.silent == set()
+    assert simulated.blackholed == set()
 
 
 def test_repeated_ping_is_answered_over_a_new_connection():
@@ -121,7 +121,7 @@
 
 def test_offered_version_is_announced_in_the_same_turn():
     """Peers learn its age, so they do not wait for the store once more."""
-    simulated = fleet.Fleet(3)
+    simulated = fleet.SimulatedFleet(3)
     announced = []
     simulated.send = lambda sender, receiver, message, new_connection: (
         announced.append(message)
--- a/test/test_dissemination.py
+++ b/test/test_dissemination.py
@@ -25,25 +25,25 @@
 PROCESSES = 31
 
 
-def lagging(found: fleet.Fleet) -> dict[tuple[str, int], float]:
+def lagging(found: fleet.SimulatedFleet) -> dict[tuple[str, int], float]:
     """Lag by process and version where it exceeds the bound."""
     lags = found.lags()
     return {key: lag for key, lag in lags.items() if lag > ACTIVE_WITHIN}
 
 
-def settled(seed: int = 1) -> fleet.Fleet:
+def settled(seed: int = 1) -> fleet.SimulatedFleet:
     """Creates a fleet that has activated its first version."""
-    found = fleet.Fleet(PROCESSES, seed)
+    found = fleet.SimulatedFleet(PROCESSES, seed)
     found.publish(1)
     found.run(3.0)
     return found
 
 
-def deafen(found: fleet.Fleet, share: float) -> None:
+def deafen(found: fleet.SimulatedFleet, share: float) -> None:
     """Makes the store stop answering a share of the processes."""
     names = sorted(found.node_by_name)
     for name in found.rng.sample(names, round(share * len(names))):
-        found.node_by_name[name].deaf = True
+        found.node_by_name[name].store_unreachable = True
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -62,7 +62,7 @@
     """Messages sent over the broken connections are lost."""
     found = settled(seed)
     deafen(found, 1 / 2)
-    found.fall_silent()
+    found.blackhole_connections()
     found.run(3.0)
     for version in range(2, 8):
         found.publish(version)
@@ -77,7 +77,7 @@
     found = settled(seed)
     deafen(found, share)
     for version in range(2, 8):
-        found.fall_silent()
+        found.blackhole_connections()
         found.publish(version)
         found.run(2.1)
     lags = found.lags().values()
@@ -98,20 +98,20 @@
 def test_process_that_starts_without_store_gets_the_latest_version(seed):
     """The process knows no peers, and half of its peers lag as well."""
     found = settled(seed)
-    found.cut.add("p3")
+    found.isolated.add("p3")
     del found.node_by_name["p3"]
     found.run(60.0)
     deafen(found, 1 / 2)
-    found.cut.clear()
+    found.isolated.clear()
     started = found.clock.now
-    found.start("p3").deaf = True
+    found.start("p3").store_unreachable = True
     for version in range(2, 7):
         found.publish(version)
         found.run(0.5)
     found.run(gossip.DEAD_PING_PERIOD + ACTIVE_WITHIN)
     first = min(
         at
-        for (name, _), at in found.taken.items()
+        for (name, _), at in found.applied_at.items()
         if name == "p3" and at > started
     )
     assert first - started <= gossip.DEAD_PING_PERIOD + ACTIVE_WITHIN
@@ -121,23 +121,23 @@
 
 def test_partitioned_process_catches_up_soon():
     found = settled()
-    found.node_by_name["p3"].deaf = True
-    found.cut.add("p3")
+    found.node_by_name["p3"].store_unreachable = True
+    found.isolated.add("p3")
     found.publish(2)
     found.run(5.0)
-    found.fall_silent()
-    found.cut.clear()
-    found.run(dissemination.MAX_RETRY_DELAY + fleet.TICK)
+    found.blackhole_connections()
+    found.isolated.clear()
+    found.run(dissemination.MAX_RETRY_DELAY + fleet.TICK_SECONDS)
     assert found.node_by_name["p3"].version == 2
 
 
 def test_confirmed_version_is_not_sent_again():
     """Each version is reported once if the store notifies every process."""
     found = settled()
-    before = found.count_by_kind.copy()
+    before = found.message_count_by_type.copy()
     found.publish(2)
     found.run(5.0)
-    sent = found.count_by_kind - before
+    sent = found.message_count_by_type - before
     told = PROCESSES * len(dissemination.RING_DISTANCES)
     assert sent["CatalogVersion"] == told
     assert sent["CatalogRequest"] == sent["CatalogOffer"] == 0
--- a/test/test_known_red.py
+++ b/test/test_known_red.py
@@ -141,7 +141,7 @@
     args = ("-k", "good or bad or error")
     result = suite(*BAD, args=args)
     assert result.ret == pytest.ExitCode.OK
-    assert fates(result) == dict.fromkeys(BAD, known_red.FAILS)
+    assert fates(result) == dict.fromkeys(BAD, known_red.STILL_FAILS)
     assert "xfailed" in result.outlines[-1]
 
 
@@ -170,31 +170,31 @@
 def test_a_listed_test_that_passes_is_named(suite):
     result = suite("test_good", args=("-k", "test_good"))
     assert result.ret == pytest.ExitCode.OK
-    assert fates(result) == {"test_good": known_red.PASSES}
+    assert fates(result) == {"test_good": known_red.NOW_PASSES}
 
 
 def test_all_parameters_are_covered(suite):
     result = suite("test_each", args=("-k", "test_each"))
     assert result.ret == pytest.ExitCode.OK
-    assert fates(result) == {"test_each": known_red.FAILS}
+    assert fates(result) == {"test_each": known_red.STILL_FAILS}
 
 
 def test_one_set_of_parameters_is_covered(suite):
     result = suite("test_each[1]", args=("-k", "test_each"))
     assert result.ret == pytest.ExitCode.TESTS_FAILED
-    assert fates(result) == {"test_each[1]": known_red.PASSES}
+    assert fates(result) == {"test_each[1]": known_red.NOW_PASSES}
 
 
 def test_some_parameters_that_pass_dont_clear_the_rest(suite):
     result = suite("test_each", args=("test/test_a.py::test_each[1]",))
     assert result.ret == pytest.ExitCode.OK
-    assert fates(result) == {"test_each": known_red.PARTLY}
+    assert fates(result) == {"test_each": known_red.PASSES_IN_PART}
 
 
 def test_methods_are_covered(suite):
     result = suite("TestInner::test_in", args=("-k", "test_in"))
     assert result.ret == pytest.ExitCode.OK
-    assert fates(result) == {"TestInner::test_in": known_red.FAILS}
+    assert fates(result) == {"TestInner::test_in": known_red.STILL_FAILS}
 
 
 @pytest.mark.parametrize(
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -6,11 +6,11 @@
 
 from forklift import health
 from forklift import retries
-from test import replay
+from test import load_simulation
 
-BOOK = replay.Kind("book", 0.45, 1.5, 5.0)
-REFUND = replay.Kind("refund", 0.35, 0.8, 2.5, priority=0)
-LOOKUP = replay.Kind("lookup", 0.1, 0.4, 1.5, idempotent=True)
+BOOK = load_simulation.RequestKind("book", 0.45, 1.5, 5.0)
+REFUND = load_simulation.RequestKind("refund", 0.35, 0.8, 2.5, priority=0)
+LOOKUP = load_simulation.RequestKind("lookup", 0.1, 0.4, 1.5, idempotent=True)
 
 
 def never(number: int, now: float) -> bool:
@@ -18,64 +18,69 @@
 
 
 def add_steady_load(
-    simulation: replay.Replay, kind: replay.Kind, rate: float, until: float
+    simulation: load_simulation.Simulation,
+    kind: load_simulation.RequestKind,
+    rate: float,
+    until: float,
 ):
     rng = random.Random(f"{kind.route} {rate}")
     now = rng.expovariate(rate)
     while now < until:
-        simulation.come(now, kind)
+        simulation.add_request(now, kind)
         now += rng.expovariate(rate)
 
 
-def share(courses: list[replay.Course], good) -> float:
-    return sum(map(good, courses)) / len(courses)
+def share(outcomes: list[load_simulation.RequestOutcome], good) -> float:
+    return sum(map(good, outcomes)) / len(outcomes)
 
 
-def simulate_burst() -> list[replay.Course]:
+def simulate_burst() -> list[load_simulation.RequestOutcome]:
     """150 % of the capacity of two targets for ten seconds."""
-    simulation = replay.Replay(2, 5, never)
+    simulation = load_simulation.Simulation(2, 5, never)
     add_steady_load(simulation, BOOK, 28.0, 10.0)
     simulation.run(20.0)
-    return simulation.courses
+    return simulation.outcomes
 
 
 def test_most_responses_during_a_burst_meet_the_objective():
     """Guards against serving late requests first, which makes all late."""
-    courses = simulate_burst()
-    served = [one for one in courses if one.served]
-    assert share(served, lambda one: one.timely) > 0.75
-    assert len(served) / len(courses) > 0.55
+    outcomes = simulate_burst()
+    served = [one for one in outcomes if one.served]
+    assert share(served, lambda one: one.met_objective) > 0.75
+    assert len(served) / len(outcomes) > 0.55
 
 
 def test_requests_refused_during_a_burst_are_not_held_for_long():
     refused = [one for one in simulate_burst() if not one.served]
-    longest = max(one.ended - one.came for one in refused)
-    assert longest < BOOK.objective + 2 * replay.TICK
+    longest = max(one.ended_at - one.arrived_at for one in refused)
+    assert longest < BOOK.objective + 2 * load_simulation.TICK_SECONDS
 
 
 def test_longer_queue_time_does_not_serve_more_requests_in_time(monkeypatch):
     """Longer queueing only holds refused requests for longer."""
 
     def held_and_timely() -> tuple[float, int]:
-        courses = simulate_burst()
-        unserved = [one for one in courses if not one.served]
-        held = sum(one.ended - one.came for one in unserved)
-        return held, sum(one.timely for one in courses)
+        outcomes = simulate_burst()
+        unserved = [one for one in outcomes if not one.served]
+        held = sum(one.ended_at - one.arrived_at for one in unserved)
+        return held, sum(one.met_objective for one in outcomes)
 
-    held, timely = held_and_timely()
+    held, met_objective = held_and_timely()
     monkeypatch.setattr(retries, "MIN_QUEUE_SECONDS", 0.8 * BOOK.timeout)
     held_longer, timely_longer = held_and_timely()
     assert held_longer > 1.5 * held
-    assert timely_longer < 1.05 * timely
+    assert timely_longer < 1.05 * met_objective
 
 
-def simulate_hanging_targets(until: float, arrivals: float) -> replay.Replay:
+def simulate_hanging_targets(
+    until: float, arrivals: float
+) -> load_simulation.Simulation:
     """Two of six targets hang three of four requests from 5 s on."""
 
     def bad(number: int, now: float) -> bool:
         return number < 2 and 5.0 <= now < until
 
-    simulation = replay.Replay(6, 5, bad)
+    simulation = load_simulation.Simulation(6, 5, bad)
     add_steady_load(simulation, BOOK, 24.0, arrivals)
     add_steady_load(simulation, LOOKUP, 12.0, arrivals)
     return simulation
@@ -87,7 +92,9 @@
     simulation = simulate_hanging_targets(until=9.0, arrivals=12.0)
     simulation.run(20.0)
     during = [
-        c for c in simulation.courses if c.kind is BOOK and 5 <= c.came < 9
+        c
+        for c in simulation.outcomes
+        if c.kind is BOOK and 5 <= c.arrived_at < 9
     ]
     # Random selection would lose a quarter of the requests.
     assert share(during, lambda one: one.hung) < 0.12
@@ -97,7 +104,7 @@
 def test_targets_that_hung_are_reinstated_after_recovery():
     simulation = simulate_hanging_targets(until=8.0, arrivals=14.0)
     simulation.run(14.0)
-    for found in simulation.gates:
+    for found in simulation.controllers:
         assert (
             found.health.unhealthy_probability(14.0) < health.EJECTION_THRESHOLD
         )
@@ -105,8 +112,14 @@
 
 @pytest.mark.parametrize("kind", [BOOK, REFUND, LOOKUP])
 def test_every_request_ends_by_its_deadline(kind):
-    simulation = replay.Replay(3, 5, lambda number, now: number == 0)
+    simulation = load_simulation.Simulation(
+        3, 5, lambda number, now: number == 0
+    )
     add_steady_load(simulation, kind, 60.0, 5.0)
     simulation.run(12.0)
-    for one in simulation.courses:
-        assert one.came <= one.ended <= one.came + kind.timeout + replay.TICK
+    for one in simulation.outcomes:
+        assert (
+            one.arrived_at
+            <= one.ended_at
+            <= one.arrived_at + kind.timeout + load_simulation.TICK_SECONDS
+        )
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -272,13 +272,13 @@
         process = settings.Process(
             "new",
             "d",
-            processes.ANY,
-            processes.ANY,
-            processes.ANY,
-            processes.ANY,
+            processes.ANY_PORT,
+            processes.ANY_PORT,
+            processes.ANY_PORT,
+            processes.ANY_PORT,
         )
         platform = settings.Platform(
-            fleet.server.address, processes.ANY, processes.ANY
+            fleet.server.address, processes.ANY_PORT, processes.ANY_PORT
         )
         store = adapter.Store(fleet.server.address)
         new = proxy.Proxy(
@@ -495,15 +495,15 @@
         process = settings.Process(
             "p",
             "d",
-            processes.ANY,
-            processes.ANY,
-            processes.ANY,
-            processes.ANY,
+            processes.ANY_PORT,
+            processes.ANY_PORT,
+            processes.ANY_PORT,
+            processes.ANY_PORT,
             peer_public="127.0.0.1:9",
             control_public="127.0.0.1:10",
         )
         platform = settings.Platform(
-            "127.0.0.1:9", processes.ANY, processes.ANY
+            "127.0.0.1:9", processes.ANY_PORT, processes.ANY_PORT
         )
         read = settings.Settings(process, platform)
         store = adapter.Store(platform.store)
@@ -688,7 +688,7 @@
         fleet.proxies.insert(0, new)
         await new.start()
         fleet.announce(new, 0)
-        await helper.until(fleet.meets)
+        await helper.until(fleet.is_ready)
         assert (await fleet.ask(0)).status == 200
 
     processes.play(work, [[], []])
@@ -783,7 +783,7 @@
     async def work(fleet):
         one = fleet.proxies[0]
         one.local_targets.drain("t0")
-        any_ = processes.ANY
+        any_ = processes.ANY_PORT
         info = messages.ProcessInfo(
             "ghost", 1, 1, "d", any_, any_, any_, 1, 0.0,
             (messages.TargetInfo("t8", "s", "d", 4, State.IN_SERVICE, 1),),
@@ -851,7 +851,7 @@
     async def work():
         store = standin.Store()
         listening = server.Server(store.handle)
-        await listening.open(processes.ANY)
+        await listening.open(processes.ANY_PORT)
         services = {"s": {"health-check": "/health"}}
         store.configure({**processes.record(1), "services": services})
         async with scripted.ScriptedTarget(name="t0", slots=3) as target:
@@ -859,15 +859,15 @@
                 settings.Process(
                     "p",
                     "d",
-                    processes.ANY,
-                    processes.ANY,
-                    processes.ANY,
-                    processes.ANY,
+                    processes.ANY_PORT,
+                    processes.ANY_PORT,
+                    processes.ANY_PORT,
+                    processes.ANY_PORT,
                 ),
                 settings.Platform(
                     listening.address,
-                    processes.ANY,
-                    processes.ANY,
+                    processes.ANY_PORT,
+                    processes.ANY_PORT,
                     "s",
                     target.address,
                 ),
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -207,19 +207,19 @@
 # Synchronization between processes.
 
 
-def fleet(count: int, seed: int) -> fleets.Fleet:
-    made = fleets.Fleet(count, seed)
+def fleet(count: int, seed: int) -> fleets.SimulatedFleet:
+    made = fleets.SimulatedFleet(count, seed)
     made.run(1.0)
     return made
 
 
-def crash_beside(made: fleets.Fleet, name: str, number: int) -> None:
+def crash_beside(made: fleets.SimulatedFleet, name: str, number: int) -> None:
     node = made.node_by_name[name]
     crash(node.quarantine, number, made.clock.now, CRASHING)
-    made.tick_in(node, 0.0)
+    made.schedule_tick(node, 0.0)
 
 
-def quarantining(made: fleets.Fleet) -> set[str]:
+def quarantining(made: fleets.SimulatedFleet) -> set[str]:
     """Names of processes that quarantine the request."""
     return {
         name
@@ -249,13 +249,13 @@
 def test_partitioned_and_new_processes_quarantine_in_time(seed):
     """Covers partitioned and new processes while 10 % of messages are lost."""
     made = fleet(31, seed)
-    made.loses = 0.1
-    made.cut = {"p3", "p4", "p5"}
+    made.loss_rate = 0.1
+    made.isolated = {"p3", "p4", "p5"}
     crash_beside(made, "p0", 1)
     crash_beside(made, "p1", 2)
     made.run(20.0)
-    assert not quarantining(made) & made.cut
-    made.cut = set()
+    assert not quarantining(made) & made.isolated
+    made.isolated = set()
     late = made.start("p6")
     others = [n for n in made.node_by_name.values() if n is not late]
     for node in made.rng.sample(others, 3):
@@ -267,12 +267,12 @@
 def test_evidence_from_both_sides_of_a_partition_is_merged():
     """Each side saw a single crash, which is too little evidence."""
     made = fleet(8, 1)
-    made.cut = {"p0"}
+    made.isolated = {"p0"}
     crash_beside(made, "p0", 1)
     crash_beside(made, "p1", 2)
     made.run(2.0)
     assert quarantining(made) == set()
-    made.cut = set()
+    made.isolated = set()
     made.run(CONTACT)
     assert quarantining(made) == set(made.node_by_name)
 
@@ -281,13 +281,13 @@
     made = fleet(31, 1)
     node = made.node_by_name["p0"]
     crash(node.quarantine, 1, made.clock.now, INNOCENT, OTHER)
-    made.tick_in(node, 0.0)
+    made.schedule_tick(node, 0.0)
     made.run(0.3)
     other = made.node_by_name["p9"]
     now = made.clock.now
     assert other.quarantine.verdict(INNOCENT, now) is Verdict.SUSPECTED
     other.quarantine.record_success(INNOCENT, now)
-    made.tick_in(other, 0.0)
+    made.schedule_tick(other, 0.0)
     made.run(CONTACT)
     verdicts = {
         one.quarantine.verdict(INNOCENT, made.clock.now)
@@ -301,9 +301,9 @@
     crash_beside(made, "p0", 1)
     crash_beside(made, "p1", 2)
     made.run(5.0)
-    before = made.count_by_kind["SuspectedRequests"]
+    before = made.message_count_by_type["SuspectedRequests"]
     made.run(20.0)
-    assert made.count_by_kind["SuspectedRequests"] == before
+    assert made.message_count_by_type["SuspectedRequests"] == before
 
 
 def test_messages_of_evidence_fit_a_datagram():
@@ -336,7 +336,7 @@
 
 def test_one_exchange_synchronizes_both_processes():
     """Each process lacks the evidence of the other."""
-    made = fleets.Fleet(2, 1)
+    made = fleets.SimulatedFleet(2, 1)
     for name, fingerprints in (("p0", CRASHING), ("p1", OTHER)):
         quarantine = made.node_by_name[name].quarantine
         crash(quarantine, ord(name[1]), made.clock.now, fingerprints)
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -210,7 +210,7 @@
             await fleet.start(number)
         await helper.until(
             lambda: (
-                fleet.meets()
+                fleet.is_ready()
                 and all(
                     one.quarantine.quarantined(one.clock.monotonic())
                     for one in fleet.proxies
--- a/test/test_store_readers.py
+++ b/test/test_store_readers.py
@@ -87,14 +87,14 @@
 # Delivery of versions to processes that do not read.
 
 
-def settled(seed: int) -> fleet.Fleet:
-    found = fleet.Fleet(PROCESSES, seed)
+def settled(seed: int) -> fleet.SimulatedFleet:
+    found = fleet.SimulatedFleet(PROCESSES, seed)
     found.publish(1)
     found.run(3.0)
     return found
 
 
-def worst(found: fleet.Fleet) -> float:
+def worst(found: fleet.SimulatedFleet) -> float:
     return max(found.lags().values())
 
 
@@ -122,7 +122,7 @@
 def test_versions_spread_in_time_despite_lost_messages(seed):
     """A tenth of the datagrams is lost."""
     found = settled(seed)
-    found.loses = 0.1
+    found.loss_rate = 0.1
     for version in range(2, 6):
         found.publish(version)
         found.run(2.1)
