--- a/test/fleet.py
+++ b/test/fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of neighbours on simulated time: who hears of which version when.
+"""Simulates how membership and configurations spread through a fleet.
 
-Each process has the real decisions of membership and of handing configurations
-on. The network between them delays messages, and a connection may fall silent:
-what is sent over it is lost, without a sign, until the sender opens a new one.
+Each process runs the real control protocols on simulated time. The simulated
+network delays messages. It can also blackhole a connection: messages on it are
+lost without an error until the sender opens a new connection.
 """
 
 import collections
@@ -21,16 +21,23 @@
 from forklift.shell import ticker
 from test import helper
 
-# Seconds between two ticks of a process that has something to tell.
+# Seconds between two ticks of a process whose control protocols are active.
 TICK_SECONDS = ticker.BUSY_INTERVAL
-# Failure domains.
+# Number of failure domains.
 DOMAIN_COUNT = 3
-# Seconds that a message takes.
+# Seconds that the network takes to deliver a message.
 LATENCY_SECONDS = 0.0015
 
 
 class Node:
-    """One process of the fleet."""
+    """A simulated process.
+
+    Attributes:
+        store_unreachable: Whether the process misses what the store publishes.
+        next_tick_at: Simulated time of the next tick, in seconds.
+        tick_number: Number of the next tick; ticks with another number have
+            been rescheduled and are ignored.
+    """
 
     def __init__(self, fleet: "SimulatedFleet", name: str, boot: int):
         self.fleet = fleet
@@ -63,25 +70,23 @@
             self.quarantine,
         )
         self.directory = self.control_protocols.directory
-        # When it ticks next, and the number of that tick: an earlier one that
-        # was put off is none any more.
         self.next_tick_at = 0.0
         self.tick_number = 0
 
     @property
     def version(self) -> int:
-        """The version in force here."""
+        """The configuration version that this process applies."""
         return self.active_catalog.catalog.version
 
     def receive_record(self, data: bytes, source: str = "store") -> None:
-        """A record of the configuration was read."""
-        found = catalog.Catalog(
+        """Applies a configuration record if it is newer than the active one."""
+        new_catalog = catalog.Catalog(
             int(data), routing.Table(()), {}, catalog.DEFAULT_LIMITS, data
         )
         now = self.fleet.clock.now
-        if self.active_catalog.offer(found, source, now):
-            self.directory.update_own(config=found.version)
-            self.fleet.applied_at[self.name, found.version] = now
+        if self.active_catalog.offer(new_catalog, source, now):
+            self.directory.update_own(config=new_catalog.version)
+            self.fleet.applied_at[self.name, new_catalog.version] = now
             self.fleet.schedule_tick(self, 0.0)
 
     def _send(
@@ -94,21 +99,21 @@
 
 
 class SimulatedFleet:
-    """Processes, the network between them, and a store that some hear."""
+    """Simulated processes, the network between them and the store."""
 
     def __init__(self, count: int, seed: int = 1):
         self.clock = helper.FakeClock()
         self.rng = random.Random(seed)
         self.node_by_name: dict[str, Node] = {}
-        # Connections, by sender and receiver, that lose what is sent.
+        # Pairs of sender and receiver whose connection loses all messages.
         self.blackholed: set[tuple[str, str]] = set()
-        # Processes that can't be reached and send nothing.
+        # Processes that can neither send nor receive messages.
         self.isolated: set[str] = set()
-        # Share of messages that are lost.
+        # Fraction of messages that the network loses.
         self.loss_rate = 0.0
-        # When a process took a version, by both.
+        # Time at which a process applied a version, by process and version.
         self.applied_at: dict[tuple[str, int], float] = {}
-        # When the store acknowledged a version.
+        # Time at which the store acknowledged a version, by version.
         self.acknowledged_at: dict[int, float] = {}
         self.message_count_by_type: collections.Counter[str] = (
             collections.Counter()
@@ -126,7 +131,7 @@
         self.run(2.0)
 
     def start(self, name: str) -> Node:
-        """Starts a process, or a new run of it."""
+        """Starts a process, or restarts it under the same name."""
         boot = 1 + next(self._sequence)
         node = Node(self, name, boot)
         self.node_by_name[name] = node
@@ -135,7 +140,7 @@
         return node
 
     def schedule_tick(self, node: Node, seconds: float) -> None:
-        """A process ticks so soon at the latest, as what nudges it has it."""
+        """Moves the next tick of a process forward to at most this delay."""
         at = self.clock.now + seconds
         if at < node.next_tick_at:
             self._schedule_tick_at(node, at)
@@ -147,7 +152,7 @@
         self._schedule(at - self.clock.now, lambda: self._tick(node, number))
 
     def publish(self, version: int) -> None:
-        """The store takes a version and tells those that wait for one."""
+        """Stores a version and notifies the processes that read the store."""
         self.acknowledged_at[version] = self.clock.now
         for node in self.node_by_name.values():
             if (
@@ -162,14 +167,24 @@
                 )
 
     def blackhole_connections(self) -> None:
-        """Every connection that is open now loses what is sent over it."""
+        """Makes every open connection lose what is sent over it."""
         names = list(self.node_by_name)
         self.blackholed = set(itertools.permutations(names, 2))
 
     def send(
         self, sender: str, receiver: str, message: object, new_connection: bool
     ) -> bool:
-        """Carries a message."""
+        """Sends a message, which may be lost without an error.
+
+        Args:
+            sender: Name of the sending process.
+            receiver: Name of the receiving process.
+            message: Control message.
+            new_connection: Whether to replace the connection first.
+
+        Returns:
+            Always True, as a lost message is not noticed by its sender.
+        """
         self.message_count_by_type[type(message).__name__] += 1
         connection = (sender, receiver)
         if new_connection:
@@ -186,7 +201,7 @@
         return True
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances simulated time and runs the events that become due."""
         end = self.clock.now + seconds
         while self._events and self._events[0][0] <= end:
             self.clock.now, _, callback = heapq.heappop(self._events)
@@ -194,21 +209,25 @@
         self.clock.now = end
 
     def lags(self) -> dict[tuple[str, int], float]:
-        """Seconds from each acknowledgement until it, or a later, was taken.
+        """Returns how long each version took to reach each process.
+
+        A later version counts too. For a version that has not reached a
+        process, the lag is the time from its acknowledgement until now.
 
-        Of a version that a process never came to, the time until now.
+        Returns:
+            Seconds since the acknowledgement, by process and version.
         """
-        found = {}
-        for version, since in self.acknowledged_at.items():
+        lags = {}
+        for version, acknowledged_at in self.acknowledged_at.items():
             for name in self.node_by_name:
                 reached = [
                     at
-                    for (owner, taken), at in self.applied_at.items()
-                    if owner == name and taken >= version
+                    for (owner, version_applied), at in self.applied_at.items()
+                    if owner == name and version_applied >= version
                 ]
                 at = min(reached, default=self.clock.now)
-                found[name, version] = max(0.0, at - since)
-        return found
+                lags[name, version] = max(0.0, at - acknowledged_at)
+        return lags
 
     def _schedule(self, delay: float, callback) -> None:
         entry = (self.clock.now + delay, next(self._sequence), callback)
--- a/test/load_simulation.py
+++ b/test/load_simulation.py
@@ -1,8 +1,8 @@
-"""Sends a load to admission controllers, on simulated time: no sockets, no loop.
+"""Simulates a load on admission controllers, without sockets or event loop.
 
-Requests come at given times and walk over the gates as their entries have them
-do; what a gate lets in takes a drawn time, or hangs to its deadline where its
-target is in a bad phase.
+Requests arrive at given times and try one controller after another, with the
+retry state that an ingress process would keep. A request that is admitted
+takes a random time; on an unhealthy target it may hang until its deadline.
 """
 
 import dataclasses
@@ -18,20 +18,20 @@
 
 Signal = health.Signal
 TICK_SECONDS = ticker.BUSY_INTERVAL
-# Seconds from one gate to the next.
+# Seconds between a refusal and the next attempt.
 RETRY_DELAY_SECONDS = 0.002
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestKind:
-    """A kind of request.
+    """Properties shared by the requests of one route.
 
     Attributes:
-        route: Its name.
-        median: Seconds that it usually takes.
-        objective: Seconds within which an answer has its full worth.
-        timeout: Seconds after which it ends.
-        idempotent: Whether a second run does no harm.
+        route: Name of the route.
+        median: Median service time, in seconds.
+        objective: Latency objective, in seconds.
+        timeout: Seconds from arrival to the deadline.
+        idempotent: Whether the request may run more than once.
         priority: Rank; 0 is the most urgent.
     """
 
@@ -45,14 +45,14 @@
 
 @dataclasses.dataclass
 class RequestOutcome:
-    """What became of one request.
+    """The outcome of one request.
 
     Attributes:
-        kind: Its kind.
-        came: When it came, seconds.
-        ended: When it was answered, refused or lost.
-        served: Whether it was answered with success.
-        hung: Whether a target ran it and never answered.
+        kind: Kind of the request.
+        arrived_at: Simulated time of its arrival, in seconds.
+        ended_at: Simulated time of its response, last refusal or timeout.
+        served: Whether it succeeded before its deadline.
+        hung: Whether a target ran it and never responded.
     """
 
     kind: RequestKind
@@ -63,7 +63,7 @@
 
     @property
     def met_objective(self) -> bool:
-        """Whether its answer had its full worth."""
+        """Whether the request succeeded within its latency objective."""
         return (
             self.served
             and self.ended_at - self.arrived_at <= self.kind.objective
@@ -71,7 +71,14 @@
 
 
 class Simulation:
-    """Gates of one service under a load."""
+    """Admission controllers of one service under a simulated load.
+
+    Args:
+        controllers: Number of targets, with one controller each.
+        slots: Concurrent requests that a target may run.
+        is_unhealthy: Returns whether a target, by its index, is unhealthy at
+            a simulated time.
+    """
 
     def __init__(
         self,
@@ -94,14 +101,18 @@
         ] = {}
 
     def add_request(self, at: float, kind: RequestKind) -> None:
-        """A request comes."""
+        """Schedules the arrival of a request."""
         outcome = RequestOutcome(kind, at)
         self.outcomes.append(outcome)
         retry_state = retries.RetryState(at, at + kind.timeout)
         self._schedule(at, lambda now: self._submit(outcome, retry_state, now))
 
     def run(self, until: float) -> None:
-        """Plays all that comes until a time, and what follows from it."""
+        """Runs the simulation until all scheduled requests have ended.
+
+        Args:
+            until: Simulated time at which controllers stop ticking, in seconds.
+        """
         for step in range(int(until / TICK_SECONDS)):
             self._schedule(step * TICK_SECONDS, self._tick)
         while self._events:
--- a/test/processes.py
+++ b/test/processes.py
@@ -1,4 +1,4 @@
-"""Whole processes on a stand-in of the platform, over real sockets."""
+"""Runs whole processes over real sockets, with a test store and targets."""
 
 import contextlib
 import dataclasses
@@ -35,7 +35,14 @@
 
 
 class Fleet:
-    """Processes, each beside a scripted target, and a store."""
+    """Processes with one scripted local target each, and a store.
+
+    Args:
+        scripts: Scripted behaviours of each target, in order of its requests.
+        first: Configuration record that all processes load before the test
+            starts; by default version 1 with one route. If empty, the store
+            has no configuration and the fleet does not wait for one.
+    """
 
     def __init__(self, scripts: list[list[str]], first: dict | None = None):
         self.scripts = scripts
