--- a/test/conftest.py
+++ b/test/conftest.py
@@ -1,4 +1,4 @@
-"""Has pytest read KNOWN-RED.txt."""
+"""Registers the plugin that reads KNOWN-RED.txt."""
 
 from test import known_red
 
--- a/test/known_red.py
+++ b/test/known_red.py
@@ -1,7 +1,8 @@
-"""Tests that fail for a known fault which is not mended yet.
+"""Pytest plugin for tests that fail because of a known, open fault.
 
-KNOWN-RED.txt lists them. They still run, but their failures don't fail the
-run; its summary says what became of each. All other tests count as always.
+KNOWN-RED.txt lists these tests. They still run, but their failures do not fail
+the test run, and its summary shows the status of each. All other tests count
+as usual.
 """
 
 import collections
@@ -11,19 +12,25 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-# Lines that the list may hold: more would hide what is broken.
+# Limits how many known faults may stay open at a time.
 MAX_ENTRIES = 3
-# Options that leave files out of a run of the whole suite.
+# Options that exclude files from a run of the whole suite.
 PARTIAL_RUN_OPTIONS = ("ignore", "ignore_glob", "lf")
 STILL_FAILS = "still fails"
-NOW_PASSES = "passes now: take it off the list"
-PASSES_IN_PART = "passes as far as it ran"
+NOW_PASSES = "passes now: remove it from the list"
+PASSES_IN_PART = "passed, but not all cases ran"
 NOT_RUN = "not run"
 
 
 @dataclasses.dataclass(frozen=True)
 class Entry:
-    """One line: a test, why it fails and where that is followed up."""
+    """An entry of the list.
+
+    Attributes:
+        test: Pytest node id, with or without parameters in brackets.
+        cause: Why the test fails.
+        issue: Issue that tracks the fault.
+    """
 
     test: str
     cause: str
@@ -31,19 +38,19 @@
 
     @property
     def file(self) -> str:
-        """The test's file, from the root."""
+        """Path of the test's file, relative to the root."""
         return self.test.partition("::")[0]
 
-    def covers(self, test: str) -> bool:
-        """Whether a test is meant, or one set of its parameters."""
+    def matches(self, test: str) -> bool:
+        """Returns whether a node id is this test or one of its cases."""
         return test == self.test or test.partition("[")[0] == self.test
 
 
 def parse(text: str) -> tuple[Entry, ...]:
-    """Reads the list.
+    """Parses the list; empty lines and lines that start with # are ignored.
 
     Raises:
-        ValueError: A line has missing parts, or there are too many.
+        ValueError: A line is malformed, or there are too many entries.
     """
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -51,8 +58,8 @@
             entries.append(_parse_line(number, line))
     if len(entries) > MAX_ENTRIES:
         raise ValueError(
-            f"{FILE} has {len(entries)} lines and may have {MAX_ENTRIES}; "
-            "mend some of the tests first"
+            f"{FILE} has {len(entries)} entries, but the limit is "
+            f"{MAX_ENTRIES}; fix some of the tests first"
         )
     return tuple(entries)
 
@@ -64,16 +71,16 @@
         if entry.file.endswith(".py") and entry.test[len(entry.file) + 2 :]:
             return entry
     raise ValueError(
-        f"{FILE}, line {number}: write "
-        f"'test/test_x.py::test_name | cause | issue' instead of {line!r}"
+        f"{FILE}, line {number}: expected "
+        f"'test/test_x.py::test_name | cause | issue', not {line!r}"
     )
 
 
 def read(root: pathlib.Path) -> tuple[Entry, ...]:
-    """Reads the list of a folder; a missing file is an empty list.
+    """Reads the list from a directory; a missing file is an empty list.
 
     Raises:
-        ValueError: It holds a mistake, or names a file that doesn't exist.
+        ValueError: The list is malformed, or a listed file doesn't exist.
     """
     path = root / FILE
     if not path.exists():
@@ -81,30 +88,30 @@
     entries = parse(path.read_text(encoding="utf-8"))
     for entry in entries:
         if not (root / entry.file).is_file():
-            raise ValueError(_absent(entry))
+            raise ValueError(_missing_test_message(entry))
     return entries
 
 
-def _absent(entry: Entry) -> str:
-    return f"{FILE} names {entry.test}, which doesn't exist; mend or remove it"
+def _missing_test_message(entry: Entry) -> str:
+    return f"{FILE} names {entry.test}, which doesn't exist; fix or remove it"
 
 
 def register(config: pytest.Config) -> None:
-    """Adds the plugin to a run.
+    """Reads the list and registers the plugin with pytest.
 
     Raises:
-        pytest.UsageError: The list holds a mistake.
+        pytest.UsageError: The list is malformed or a listed file is missing.
     """
     try:
         entries = read(config.rootpath)
     except ValueError as error:
         raise pytest.UsageError(str(error)) from error
-    # A module of its own: hooks of a conftest hear only of its own folder.
+    # Hooks in a conftest would only be called for its own directory.
     config.pluginmanager.register(Plugin(entries))
 
 
 class Plugin:
-    """Lets listed tests fail, and says what became of them."""
+    """Marks listed tests as expected failures and reports their status."""
 
     def __init__(self, entries: tuple[Entry, ...]):
         self._entries = entries
@@ -113,7 +120,7 @@
 
     @pytest.hookimpl(wrapper=True, trylast=True)
     def pytest_make_collect_report(self, collector: pytest.Collector):
-        """Notes what a file or class holds, also what isn't selected."""
+        """Records the tests of a file or class, including deselected ones."""
         report = yield
         children = {child.nodeid for child in report.result or ()}
         self._children_by_id[collector.nodeid] |= children
@@ -123,44 +130,49 @@
     def pytest_collection_modifyitems(
         self, session: pytest.Session, items: list[pytest.Item]
     ) -> None:
-        """Marks listed tests.
+        """Marks listed tests as expected failures.
 
         Raises:
             pytest.UsageError: A listed test doesn't exist.
         """
         for entry in self._entries:
-            if not session.testsfailed and self._is_absent(entry, session):
-                raise pytest.UsageError(_absent(entry))
+            if not session.testsfailed and self._is_missing(entry, session):
+                raise pytest.UsageError(_missing_test_message(entry))
             for item in items:
-                if entry.covers(item.nodeid):
-                    red = pytest.mark.xfail(reason=entry.cause, strict=False)
-                    item.add_marker(red, append=False)
+                if entry.matches(item.nodeid):
+                    known_failure = pytest.mark.xfail(
+                        reason=entry.cause, strict=False
+                    )
+                    item.add_marker(known_failure, append=False)
 
-    def _is_absent(self, entry: Entry, session: pytest.Session) -> bool:
-        """Whether a test's file was looked through and doesn't hold it."""
+    def _is_missing(self, entry: Entry, session: pytest.Session) -> bool:
+        """Returns whether a listed test is known not to exist.
+
+        Tests that this run did not collect are not reported as missing.
+        """
         config = session.config
         if config.getoption("lf", False):
-            # That leaves out whatever passed last time.
+            # Tests that passed in the last run are not collected.
             return False
         if entry.file not in self._children_by_id:
-            return _is_whole(config)
+            return _collects_whole_suite(config)
         name, bracket, parameters = entry.test.partition("[")
-        parent, *inner = name.split("::")
-        for part in inner:
+        parent, *names = name.split("::")
+        for part in names:
             child = f"{parent}::{part}"
-            wanted = Entry(child, "", "")
+            expected = Entry(child, "", "")
             if child == name:
-                wanted = Entry(child + bracket + parameters, "", "")
+                expected = Entry(child + bracket + parameters, "", "")
             if parent not in self._children_by_id:
-                # A class of which nothing was selected.
+                # The class was not collected, as none of it was selected.
                 return False
-            if not any(map(wanted.covers, self._children_by_id[parent])):
+            if not any(map(expected.matches, self._children_by_id[parent])):
                 return True
             parent = child
         return False
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Notes what became of a test in one of its phases."""
+        """Records the outcome of one phase of a test."""
         outcome = report.outcome
         if report.skipped and hasattr(report, "wasxfail"):
             outcome = "failed"
@@ -168,35 +180,35 @@
             self._outcomes_by_test[report.nodeid].add(outcome)
 
     def pytest_terminal_summary(self, terminalreporter) -> None:
-        """Prints each line with what became of its test."""
+        """Prints each entry with the status of its test."""
         if not self._entries:
             return
         terminalreporter.section("known red")
         for entry in self._entries:
             terminalreporter.write_line(
                 f"{entry.test} | {entry.cause} | {entry.issue}: "
-                f"{self._fate(entry)}"
+                f"{self._status(entry)}"
             )
 
-    def _fate(self, entry: Entry) -> str:
+    def _status(self, entry: Entry) -> str:
         parent = entry.test.partition("[")[0].rpartition("::")[0]
         tests = [
-            test for test in self._children_by_id[parent] if entry.covers(test)
+            test for test in self._children_by_id[parent] if entry.matches(test)
         ]
-        fates = [self._outcomes_by_test[test] for test in tests]
-        if any("failed" in fate for fate in fates):
+        statuses = [self._outcomes_by_test[test] for test in tests]
+        if any("failed" in status for status in statuses):
             return STILL_FAILS
-        if not any("passed" in fate for fate in fates):
+        if not any("passed" in status for status in statuses):
             return NOT_RUN
         return (
             NOW_PASSES
-            if all(f == {"passed"} for f in fates)
+            if all(f == {"passed"} for f in statuses)
             else PASSES_IN_PART
         )
 
 
-def _is_whole(config: pytest.Config) -> bool:
-    """Whether all files of the suite are collected."""
+def _collects_whole_suite(config: pytest.Config) -> bool:
+    """Returns whether this run collects all files of the suite."""
     if config.args_source is not pytest.Config.ArgsSource.TESTPATHS:
         return False
     return not any(
