--- a/forklift/shell/forwarding.py
+++ b/forklift/shell/forwarding.py
@@ -184,7 +184,7 @@
         """Limits the request to the stop deadline, if there is one."""
         deadlines = self._stop_deadlines
         deadline = (
-            deadlines.resolve_at if self._is_dispatched else deadlines.reject_at
+            deadlines.abandon_at if self._is_dispatched else deadlines.reject_at
         )
         if (
             self._timeout is None
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -50,9 +50,9 @@
 SLOW_TICK_INTERVAL = 0.5
 # The process counts as paused if this many seconds pass between two checks.
 MIN_PAUSE_SECONDS = 1.0
-# Seconds after the last request of a peer during which it is sent the new state
-# of a target at once. Other peers learn the state when this process rejects
-# their request.
+# A peer whose last request is at most this many seconds old is sent the new
+# state of a target at once. Other peers learn the state when this process
+# rejects their request.
 RECENT_SENDER_SECONDS = 3.0
 # Seconds without a request after which a target is announced as idle. Must
 # exceed the time within which an ingress process that has callers sends to an
@@ -395,9 +395,9 @@
             or age >= READY_WITHOUT_PEERS_SECONDS
         )
 
-    def spawn(self, work) -> None:
+    def spawn(self, coroutine) -> None:
         """Runs a coroutine in the background until the process ends."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -566,11 +566,11 @@
         )
         on_lost = frames.on_lost
 
-        def forget() -> None:
+        def discard_connection() -> None:
             self.server_connections.discard(connection)
             on_lost()
 
-        frames.on_lost = forget
+        frames.on_lost = discard_connection
         self.server_connections.add(connection)
 
     def _make_hello(self) -> messages.Hello:
@@ -704,14 +704,14 @@
         They name the previous incarnation and are rejected as stale.
         """
         now = self.clock.monotonic()
-        paused = now - self._last_pause_check
+        pause_seconds = now - self._last_pause_check
         self._last_pause_check = now
-        if paused < MIN_PAUSE_SECONDS:
+        if pause_seconds < MIN_PAUSE_SECONDS:
             return
         self.incarnation += 1
-        _log.warning("paused", seconds=round(paused, 2))
+        _log.warning("paused", seconds=round(pause_seconds, 2))
         for local_target in self.local_targets.by_name.values():
-            local_target.controller.exclude_pause(paused)
+            local_target.controller.exclude_pause(pause_seconds)
         self.control_protocols.handle_pause()
 
 
--- a/forklift/shell/serve.py
+++ b/forklift/shell/serve.py
@@ -21,12 +21,12 @@
 GC_THRESHOLD = 20_000
 
 
-async def serve(initial: settings.Settings, path: str) -> None:
+async def serve(initial: settings.Settings, settings_path: str) -> None:
     """Runs a process until SIGTERM, SIGINT or an operator's request to stop.
 
     Args:
         initial: Settings to start with.
-        path: File from which the settings are reloaded.
+        settings_path: File from which the settings are reloaded.
 
     Raises:
         errors.UserError: The process can't start.
@@ -52,7 +52,7 @@
         stop_requested.set()
 
     admin_server.on_stop_requested = request_stop
-    watcher = reload.Watcher(path, initial, proxy.reload)
+    watcher = reload.Watcher(settings_path, initial, proxy.reload)
     loop = asyncio.get_running_loop()
     # Installs the handlers before the process accepts callers, as the default
     # action of a signal would end the process and lose their requests.
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -32,13 +32,13 @@
     Attributes:
         reject_at: From then on, requests that were not sent to a target are
             rejected.
-        resolve_at: Requests that are still at a target end then, with an
+        abandon_at: Requests that are still at a target end then, with an
             unknown outcome.
         exit_at: The process exits, even if responses are pending.
     """
 
     reject_at: float
-    resolve_at: float
+    abandon_at: float
     exit_at: float
 
 
--- a/forklift/shell/store_follower.py
+++ b/forklift/shell/store_follower.py
@@ -58,10 +58,10 @@
         self._failures = 0
 
     async def wait(self) -> None:
-        """Sleeps after a failed call."""
-        longest = min(MAX_BACKOFF, INITIAL_BACKOFF * 2**self._failures)
+        """Sleeps after a failed call, longer after each further one."""
+        max_delay = min(MAX_BACKOFF, INITIAL_BACKOFF * 2**self._failures)
         self._failures += 1
-        await asyncio.sleep(longest * (0.5 + self._rng.random() / 2))
+        await asyncio.sleep(max_delay * (0.5 + self._rng.random() / 2))
 
 
 class StoreFollower:
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -160,17 +160,19 @@
             helper.train_latency(found.latencies.for_route("r", 1.0), 100.0)
         for target in fleet.targets:
             target.script.append("hold")
-        held = [asyncio.create_task(fleet.ask(0)) for _ in range(3)]
+        pending = [asyncio.create_task(fleet.ask(0)) for _ in range(3)]
         await helper.until(
             lambda: all(len(t.received) == 1 for t in fleet.targets)
         )
         attempts = fleet.proxies[0].forwarder.attempts
         response = await fleet.ask(0)
         assert response.status == 503
-        assert fleet.proxies[0].forwarder.attempts <= attempts + 3 * len(held)
+        assert fleet.proxies[0].forwarder.attempts <= attempts + 3 * len(
+            pending
+        )
         for target in fleet.targets:
             target.release.set()
-        assert [(await one).status for one in held] == [200] * 3
+        assert [(await one).status for one in pending] == [200] * 3
 
     first = processes.record(
         1, r=processes.route("non_idempotent", **{"timeout-ms": 60000})
@@ -238,17 +240,17 @@
 
     async def work(fleet):
         one = fleet.proxies[0]
-        overtaken = []
-        one.follower.handle_newer_peer_version = overtaken.append
+        restarts = []
+        one.follower.handle_newer_peer_version = restarts.append
         one.configuration_loader.receive(
             json.dumps(processes.record(2)).encode(), "store"
         )
-        assert overtaken == []
+        assert restarts == []
         data = json.dumps(processes.record(3)).encode()
         one.configuration_loader.receive(data, "peer")
         data = json.dumps(processes.record(3)).encode()
         one.configuration_loader.receive(data, "peer")
-        assert len(overtaken) == 1
+        assert len(restarts) == 1
 
     processes.play(work, [[]])
 
--- a/test/test_returned.py
+++ b/test/test_returned.py
@@ -113,13 +113,13 @@
         await wait_for_targets(fleet, OLD.name)
         one.local_targets.by_name[OLD.name].controller.slots = 1
         fleet.targets[0].script.append("hold")
-        held = asyncio.create_task(fleet.ask())
+        pending = asyncio.create_task(fleet.ask())
         await helper.until(lambda: fleet.runs() == 1)
         waits = asyncio.create_task(fleet.ask())
         controller = one.local_targets.by_name[OLD.name].controller
         await helper.until(lambda: controller.waiting == 1)
         announce(fleet, NEW)
-        assert (await held).status == 502
+        assert (await pending).status == 502
         assert (await waits).status == 200
         assert fleet.runs() == 2
 
@@ -220,10 +220,10 @@
 @pytest.mark.parametrize("order", ["in turn", "the later one first"])
 def test_processes_agree_on_the_incarnation_in_any_order(order):
     directory = membership.Directory(helper.info("own"), 256)
-    news = [info(1, OLD.name), info(2, NEW.name)]
+    updates = [info(1, OLD.name), info(2, NEW.name)]
     if order == "the later one first":
-        news.reverse()
-    for one in news:
+        updates.reverse()
+    for one in updates:
         directory.apply(messages.Rumor(messages.Liveness.ALIVE, one), 0.0)
     found = _balancer()
     for _, known in directory.take_changes():
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -38,7 +38,7 @@
             target.release.set()
         assert (await response).status == 200
         await stop
-        # The other process serves on and sends nothing to the stopped one.
+        # The other process goes on and sends nothing to the stopped one.
         responses = [await fleet.ask(1) for _ in range(3)]
         assert [response.status for response in responses] == [200] * 3
 
@@ -106,7 +106,7 @@
 
 
 def test_second_signal_gives_running_requests_more_time(monkeypatch):
-    """Requests that no target has are still rejected at the first deadline.
+    """Requests at no target are still rejected at the first deadline.
 
     The platform may count the grace period from the first signal and kill the
     process right after it.
@@ -148,7 +148,7 @@
     first = shutdown.initial_deadlines(100.0, 6.0)
     extended = shutdown.extended_deadlines(first, 102.1, 6.0)
     assert extended.reject_at == first.reject_at
-    assert extended.resolve_at > first.resolve_at
+    assert extended.abandon_at > first.abandon_at
     assert extended.exit_at == pytest.approx(
         102.1 + shutdown.USABLE_GRACE_FRACTION * 6.0
     )
--- a/test/test_store_restored.py
+++ b/test/test_store_restored.py
@@ -105,7 +105,7 @@
 
 
 def test_response_of_an_earlier_epoch_is_an_error():
-    """It was delayed on its way, and the store has lost what it contains."""
+    """A delayed response may contain records that the store has lost since."""
 
     async def work(store, client):
         append(store, b"1")
@@ -144,7 +144,7 @@
     play(work)
 
 
-def test_publish_at_an_offset_of_an_earlier_epoch_is_refused():
+def test_publish_at_an_offset_of_an_earlier_epoch_is_rejected():
     async def work(store, client):
         append(store, b"1")
         backup = store.copied()
@@ -196,7 +196,7 @@
     return {one.active_catalog.catalog.version for one in fleet.proxies}
 
 
-def test_new_process_takes_a_newer_version_from_peers_than_the_store_has():
+def test_new_process_activates_a_version_of_peers_newer_than_the_store():
     async def work(fleet):
         backup = fleet.store.copied()
         fleet.store.configure(processes.record(2))
@@ -220,7 +220,7 @@
     processes.play(work, [[], []])
 
 
-def test_process_without_peers_takes_the_version_of_the_store():
+def test_process_without_peers_activates_the_version_of_the_store():
     async def work(fleet):
         assert versions(fleet) == {1}
 
