--- a/forklift/shell/connection_pool.py
+++ b/forklift/shell/connection_pool.py
@@ -11,16 +11,16 @@
 
 Reason = messages.Reason
 
-# Connect timeout, in seconds, for checking whether a target has exited after an
-# incomplete response; the target is on this instance.
+# Connect timeout for checking whether a target has exited after an incomplete
+# response.
 CHECK_TIMEOUT_SECONDS = 0.25
-# Seconds for which the connection of such a check is kept alive.
+# Maximum idle time of a connection that was opened by that check.
 CHECK_KEEP_ALIVE_SECONDS = 0.8
-# Connect timeout, in seconds; the target is on this instance.
+# Connect timeout for requests.
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Maximum idle time, in seconds, of connections for non-idempotent requests. A
-# target may close an idle connection earlier than it announced, and the reset
-# would leave the outcome unknown.
+# Maximum idle time of connections that non-idempotent requests reuse. If the
+# target closes an idle connection earlier than it announced, the outcome of a
+# request that was just sent is unknown.
 MAX_NON_IDEMPOTENT_IDLE_SECONDS = 2.0
 
 
@@ -36,6 +36,8 @@
 
 @dataclasses.dataclass(frozen=True)
 class _IdleConnection:
+    """An idle connection; times are in monotonic seconds."""
+
     connection: tcp_stream.Connection
     idle_since: float
     expires_at: float
@@ -68,20 +70,23 @@
         """Returns an idle connection, or opens one.
 
         Args:
-            idempotent: Whether the request is idempotent; if not, connections
-                that were idle for long are closed.
+            idempotent: Whether the request is idempotent. If not, connections
+                that were idle for `MAX_NON_IDEMPOTENT_IDLE_SECONDS` or longer
+                are closed.
 
         Raises:
-            NotRun: The connection failed, or all connections are in use.
+            NotRun: Connecting failed, or all connections are in use.
         """
-        self._drop_expired()
+        self._close_expired()
         while self._idle:
             idle = self._idle.pop()
-            usable = not idle.connection.closed and not idle.connection.buffered
-            fresh = (
+            is_usable = (
+                not idle.connection.closed and not idle.connection.buffered
+            )
+            is_fresh = (
                 self._now() - idle.idle_since < MAX_NON_IDEMPOTENT_IDLE_SECONDS
             )
-            if usable and (idempotent or fresh):
+            if is_usable and (idempotent or is_fresh):
                 self.reused += 1
                 self._busy.add(idle.connection)
                 return idle.connection
@@ -97,7 +102,7 @@
 
         Args:
             connection: The connection.
-            keep_alive: Seconds for which it may be idle.
+            keep_alive: Seconds for which the connection may be idle.
         """
         if keep_alive <= 0 or connection.closed or connection.buffered:
             self.discard(connection)
@@ -107,13 +112,13 @@
         self._idle.append(_IdleConnection(connection, now, now + keep_alive))
 
     def discard(self, connection: tcp_stream.Connection) -> None:
-        """Closes a connection without reading from it again."""
+        """Closes a connection instead of returning it to the pool."""
         self.open_count -= 1
         self._busy.discard(connection)
         connection.abort()
 
     def close_all(self) -> None:
-        """Closes all connections, also those in use, as the target is gone."""
+        """Closes all connections, including those in use."""
         self.close_idle()
         for connection in self._busy:
             connection.abort()
@@ -124,7 +129,10 @@
             self.discard(self._idle.pop().connection)
 
     async def is_refusing(self) -> bool:
-        """Returns whether the target's address refuses connections."""
+        """Returns whether the target refuses connections.
+
+        Returns False without a check if the limit of connections is reached.
+        """
         if self.open_count >= self.max_connections:
             return False
         try:
@@ -153,12 +161,12 @@
         self._busy.add(connection)
         return connection
 
-    def _drop_expired(self) -> None:
+    def _close_expired(self) -> None:
         now = self._now()
-        kept: collections.deque[_IdleConnection] = collections.deque()
+        remaining: collections.deque[_IdleConnection] = collections.deque()
         for idle in self._idle:
             if idle.expires_at <= now or idle.connection.closed:
                 self.discard(idle.connection)
             else:
-                kept.append(idle)
-        self._idle = kept
+                remaining.append(idle)
+        self._idle = remaining
--- a/forklift/shell/dispatch.py
+++ b/forklift/shell/dispatch.py
@@ -25,15 +25,16 @@
 Outcome = messages.Outcome
 Reason = messages.Reason
 
-# Seconds after the deadline in which the target's process may still report it.
+# Time after the deadline of a request for which the target's process may still
+# report the result.
 DEADLINE_GRACE_SECONDS = 0.05
 # Bodies of this size or more, in bytes, are sent only after the request is
-# admitted, so that a rejection costs only the head.
+# admitted, so that a rejection costs only the transfer of the head.
 MIN_DEFERRED_BODY_BYTES = 1024
 # Maximum number of processes that relay a fence request if the connection to
 # the target's process has failed.
 MAX_RELAYS = 2
-# Retry-After, in seconds, if the target's process is unreachable.
+# Retry-After of requests if the target's process is unreachable.
 RETRY_AFTER_SECONDS = 0.5
 
 
@@ -76,9 +77,9 @@
             sink: Receives the response.
             required_health: How healthy the target must be.
             wait: Whether the request queues for a slot.
-            start_by: Monotonic seconds by which it must have started.
-            exclusive: Whether it may only run while the target runs nothing
-                else.
+            start_by: Monotonic seconds by which the request must have started.
+            exclusive: Whether the request may only run while the target runs
+                no other.
 
         Raises:
             tcp_stream.ConnectionLost: The sink's connection is lost.
@@ -135,7 +136,9 @@
             async with asyncio.timeout(remaining + DEADLINE_GRACE_SECONDS):
                 if request.idempotent:
                     return await connection.send_request(start, request, sink)
-                return await self._send_once(connection, start, request, sink)
+                return await self._send_non_idempotent(
+                    connection, start, request, sink
+                )
         except TimeoutError:
             result = exchange.unknown(Reason.TIMEOUT)
         if request.idempotent or sink.has_started:
@@ -144,7 +147,7 @@
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
         return result
 
-    async def _send_once(
+    async def _send_non_idempotent(
         self,
         connection: peer_client.ClientConnection,
         start: messages.RequestStart,
@@ -154,7 +157,7 @@
         """Sends a non-idempotent request and fences it if the connection fails.
 
         If the peer is unresponsive, other processes relay the fence request, as
-        they may still reach it.
+        they may still reach the peer.
         """
         process = connection.peer_hello.name
         response = asyncio.create_task(
@@ -175,9 +178,9 @@
         finally:
             unresponsive.cancel()
             response.cancel()
-        lost = result.ending.reason is Reason.PEER_LOST
-        unknown = result.ending.outcome is Outcome.UNKNOWN
-        if not (lost and unknown) or sink.has_started:
+        is_peer_lost = result.ending.reason is Reason.PEER_LOST
+        is_unknown = result.ending.outcome is Outcome.UNKNOWN
+        if not (is_peer_lost and is_unknown) or sink.has_started:
             return result
         if await self._fence(process, start.seq, connection.peer_hello.boot):
             return exchange.not_run(Reason.FENCED, 0.0, result.load)
@@ -187,7 +190,7 @@
         """Fences a request at the target's process.
 
         Returns:
-            Whether the request is proven never to run there.
+            Whether it is certain that the request never starts there.
         """
         try:
             connection = await self._connections.get(process)
@@ -198,7 +201,7 @@
     async def _fence_through_relays(
         self, process: str, seq: int, to_boot: int
     ) -> bool:
-        """Fences a request by way of other processes."""
+        """Fences a request through other processes; see `_fence`."""
         candidates = self._connections.connected_except(process)
         relays = self._rng.sample(candidates, min(MAX_RELAYS, len(candidates)))
         requests = [
@@ -213,6 +216,7 @@
     async def _fence_through(
         self, relay: str, process: str, seq: int, to_boot: int
     ) -> bool:
+        """Fences a request through one other process; see `_fence`."""
         try:
             connection = await self._connections.get(relay)
         except errors.PeerUnreachable:
@@ -220,10 +224,10 @@
         return await connection.fence(self._boot, seq, to_boot, process)
 
     async def relay_fence(self, fence: messages.FenceRequest) -> bool:
-        """Handles a fence request of a peer, or forwards it to its process.
+        """Handles a fence request of a peer, or forwards it to another process.
 
         Returns:
-            Whether the request is proven never to run.
+            Whether it is certain that the request never starts.
         """
         if fence.forward_to == self._name:
             is_own_boot = fence.to_boot == self._boot
--- a/forklift/shell/forwarding.py
+++ b/forklift/shell/forwarding.py
@@ -1,8 +1,8 @@
 """Forwards requests to targets: selection, retries, hedging, deadlines.
 
-A request for which no target is available waits in the process that received
-it, as all targets are reachable from there. It is answered as soon as no target
-can serve it in time any more.
+If no target is available, the process that received the request polls until
+one is, as it can send requests to the targets of all processes. The request
+fails once no target can serve it in time.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 Outcome = messages.Outcome
 Reason = messages.Reason
 
-# Retry-After, in seconds, if no target was available.
+# Retry-After of requests for which no target was available.
 RETRY_AFTER_SECONDS = 0.5
 # Fraction of the retry budget that hedged requests may use; the rest is
 # reserved for retries of failed requests.
@@ -48,7 +48,8 @@
         attempts: Number of attempts so far, retries and hedges included.
         retries: Number of retries so far.
         hedges: Number of hedged requests so far.
-        stop_deadlines: When requests must be answered, as this process stops.
+        stop_deadlines: Deadlines for responding to requests while this process
+            stops; infinite before that.
     """
 
     def __init__(
@@ -102,14 +103,14 @@
             self._in_flight.discard(forwarded)
 
     def set_stop_deadlines(self, deadlines: shutdown.Deadlines) -> None:
-        """Ensures that all requests are answered before this process stops.
+        """Ensures that all requests end before this process stops.
 
-        By then, requests that were not sent to a target are rejected as not
-        run; the outcome of all others is reported as unknown. Otherwise their
-        callers would only see a closed connection.
+        At the deadline, requests that were not sent to a target are rejected
+        as not run; all others end with an unknown outcome. Otherwise callers
+        would only see a closed connection.
 
         Args:
-            deadlines: When requests must be answered.
+            deadlines: Deadlines for responding to requests.
         """
         self.stop_deadlines = deadlines
         for forwarded in self._in_flight:
@@ -138,7 +139,7 @@
         self._timeout: asyncio.Timeout | None = None
         # Whether an attempt is in flight.
         self._is_dispatched = False
-        # A complete response that a retry may replace.
+        # The complete response of a failed attempt; a retry may replace it.
         self._withheld: response_buffer.BufferedResponse | None = None
         self._claim = response_buffer.ResponseClaim()
 
@@ -154,34 +155,35 @@
             self._retry_state.possible_runs
             and result.ending.outcome is Outcome.NOT_RUN
         ):
-            # The last target rejected it, but an earlier one may have run it.
+            # The last target rejected the request, but an earlier one may have
+            # run it.
             return exchange.unknown(result.ending.reason)
         return self._add_jitter(result)
 
     def _add_jitter(self, result: exchange.Result) -> exchange.Result:
-        """Adds jitter to Retry-After, so that callers do not retry at once."""
-        expected = result.ending.retry_after
-        if not expected:
+        """Adds jitter to Retry-After, so that callers do not retry together."""
+        retry_after = result.ending.retry_after
+        if not retry_after:
             return result
-        after = self._retry_state.retry_after(
-            expected, self._forwarder.rng.random()
+        jittered = self._retry_state.retry_after(
+            retry_after, self._forwarder.rng.random()
         )
-        ending = dataclasses.replace(result.ending, retry_after=after)
+        ending = dataclasses.replace(result.ending, retry_after=jittered)
         return dataclasses.replace(result, ending=ending)
 
     def set_stop_deadlines(self, deadlines: shutdown.Deadlines) -> None:
-        """Sets when this request must be answered, as the process stops."""
+        """Sets the deadlines for responding, as the process stops."""
         self._stop_deadlines = deadlines
         self._retry_state.process_exits_at = deadlines.reject_at
         self._apply_stop_deadlines()
 
     def _set_dispatched(self, is_dispatched: bool) -> None:
-        """Sets whether an attempt is in flight; its deadline is later."""
+        """Sets whether an attempt is in flight, and thus the stop deadline."""
         self._is_dispatched = is_dispatched
         self._apply_stop_deadlines()
 
     def _apply_stop_deadlines(self) -> None:
-        """Limits the request to the stop deadline, if there is one."""
+        """Sets the timeout of the request to its stop deadline, if any."""
         deadlines = self._stop_deadlines
         deadline = (
             deadlines.abandon_at if self._is_dispatched else deadlines.reject_at
@@ -195,7 +197,7 @@
         self._timeout.reschedule(self._loop_time(deadline))
 
     async def _run_until_stop(self) -> exchange.Result:
-        """Runs attempts until there is a result or the stop deadline."""
+        """Runs attempts until one has a final result or the stop deadline."""
         try:
             async with asyncio.timeout_at(None) as self._timeout:
                 self._apply_stop_deadlines()
@@ -246,6 +248,7 @@
 
     @property
     def _start_by(self) -> float:
+        """Monotonic seconds by which an attempt must have started."""
         return self._retry_state.start_by(
             self._distribution, self._request.soft_deadline
         )
@@ -260,7 +263,7 @@
         ) / 1024
 
     def _quarantined_for(self) -> float:
-        """Returns the seconds for which the request is quarantined."""
+        """Returns the remaining seconds of the quarantine; 0 if none."""
         fingerprint = self._request.fingerprint
         return self._forwarder.quarantine.quarantined_for(
             fingerprint, self._now()
@@ -268,7 +271,7 @@
 
     @property
     def _exclusive(self) -> bool:
-        """Whether it may only run while its target runs nothing else."""
+        """Whether the request may only run while its target runs no other."""
         fingerprint = self._request.fingerprint
         quarantine = self._forwarder.quarantine
         suspect = quarantine.is_suspected(fingerprint, self._now())
@@ -291,8 +294,8 @@
             selection = self._select()
             if selection is None:
                 if self._withheld is not None:
-                    # No target can run the retry; the withheld response is
-                    # returned.
+                    # No target is available for the retry, so the caller
+                    # receives the withheld response.
                     return result
                 if not self._retry_state.relax_requirements():
                     await asyncio.sleep(self._retry_state.next_poll_delay())
@@ -304,7 +307,7 @@
                 )
                 return result
             self._set_dispatched(True)
-            attempt = await self._send(selection)
+            attempt = await self._run_with_hedge(selection)
             self._set_dispatched(False)
             result = attempt.result
             if not self._should_retry(attempt):
@@ -346,7 +349,7 @@
     # Results of attempts.
 
     def _should_retry(self, attempt: hedging.AttemptResult) -> bool:
-        """Records the result of an attempt.
+        """Records the result of an attempt, and decides whether to retry it.
 
         Returns:
             Whether to send the request to another target.
@@ -395,22 +398,23 @@
 
     # Attempts and hedging.
 
-    async def _send(
+    async def _run_with_hedge(
         self, first: load_balancer.Selection
     ) -> hedging.AttemptResult:
-        """Makes an attempt, and hedges it if it is slow."""
-        hedged = hedging.HedgedRequest(
+        """Runs an attempt, and hedges it if it is slow."""
+        hedged_request = hedging.HedgedRequest(
             self._claim,
             self._start_attempt,
             self._select_hedge,
             self._should_retry,
         )
-        return await hedged.run(first, self._hedge_delay())
+        return await hedged_request.run(first, self._hedge_delay())
 
     def _start_attempt(
         self, selection: load_balancer.Selection, is_hedge: bool
     ) -> hedging.Attempt:
-        # Failed responses are withheld if the request can be retried.
+        # Failed responses are withheld from the caller if the request can be
+        # retried.
         is_failure = None
         if self._request.idempotent and self._request.body.replayable:
             is_failure = self._policy.is_failure
@@ -425,11 +429,14 @@
     def _hedge_delay(self) -> float | None:
         """Returns the seconds until the hedged request; None for no hedge."""
         request = self._request
-        only_once = not request.idempotent or not request.body.replayable
-        if only_once or self._retry_state.attempts + 2 > request.max_attempts:
+        not_retryable = not request.idempotent or not request.body.replayable
+        if (
+            not_retryable
+            or self._retry_state.attempts + 2 > request.max_attempts
+        ):
             return None
         if self._exclusive:
-            # A suspected request must not put a second target at risk.
+            # A suspected request might crash the second target, too.
             return None
         return self._retry_state.hedge_delay(
             self._distribution, request.soft_deadline, self._now()
@@ -445,8 +452,8 @@
             in_flight: Number of attempts in flight.
 
         Returns:
-            The target; None if none is healthy and free, or if the retry
-            budget is used up.
+            The target; None if no healthy target is free, or if the limit of
+            attempts or the retry budget is reached.
         """
         if (
             self._exclusive
@@ -492,7 +499,7 @@
             self._retry_state.required_health(self._now()),
             selection.required_health,
         )
-        # The first attempt is still running, so a hedge has no latest start.
+        # A hedge may start at any time, as the first attempt still runs.
         start_by = math.inf if is_hedge else self._start_by
         result = None
         try:
@@ -512,7 +519,7 @@
                 )
             return result
         finally:
-            # This also runs if the attempt is cancelled as the process stops.
+            # The attempt may also be cancelled, e.g. as the process stops.
             if buffered.is_withheld:
                 self._withheld = buffered
             if not buffered.has_started:
--- a/forklift/shell/health_probe.py
+++ b/forklift/shell/health_probe.py
@@ -14,22 +14,22 @@
 
 _log = structlog.get_logger(__name__)
 
-# Timeout of a probe, in seconds. A failed probe does little harm, as the next
-# heartbeat of the target follows soon.
+# Timeout for connecting and receiving the head of the response.
 PROBE_TIMEOUT_SECONDS = 1.0
-_NAME = re.compile(rb"[!-~]{1,200}")
-# Load field: running requests, waiting requests, slots.
-_LOAD = re.compile(rb"\s*\d+\s*,\s*\d+\s*,\s*(\d{1,6})\s*")
+_TARGET_NAME = re.compile(rb"[!-~]{1,200}")
+# Value of the load header: running requests, queued requests, slots.
+_LOAD_FIELD = re.compile(rb"\s*\d+\s*,\s*\d+\s*,\s*(\d{1,6})\s*")
 
 
 @dataclasses.dataclass(frozen=True)
 class ProbeResult:
-    """Response of a health endpoint.
+    """Content of a response of a health endpoint.
 
     Attributes:
         healthy: Whether the target reports that it is healthy and not leaving.
-        target: Name that it reports; empty if there is no valid one.
-        slots: Concurrent requests that it can run; 0 if not reported.
+        target: Name that the target reports; empty if there is no valid one.
+        slots: Number of requests that the target can run concurrently; 0 if
+            not reported.
     """
 
     healthy: bool
@@ -45,7 +45,7 @@
     The result is only a hint, as the target may report wrong values.
 
     Returns:
-        The response; None if the probe failed.
+        The result; None if there was no response in time.
     """
     connection = None
     try:
@@ -88,11 +88,11 @@
 ) -> ProbeResult:
     headers = http.fields(response)
     name = http.value(headers, header_names.target) or b""
-    if not _NAME.fullmatch(name):
+    if not _TARGET_NAME.fullmatch(name):
         invalid_input.record(
             invalid_input.Source.HEALTH, "no valid target name in the response"
         )
         name = b""
-    load = _LOAD.fullmatch(http.value(headers, header_names.load) or b"")
+    load = _LOAD_FIELD.fullmatch(http.value(headers, header_names.load) or b"")
     slots = int(load[1]) if load else 0
     return ProbeResult(response.status_code < 400, name.decode("ascii"), slots)
--- a/forklift/shell/hedging.py
+++ b/forklift/shell/hedging.py
@@ -1,7 +1,7 @@
-"""Hedged requests: concurrent attempts; the first good response is used.
+"""Hedged requests: the first good response of concurrent attempts is used.
 
-A target may be slow or unresponsive. If the first attempt is slow, a second
-target is sent the same request, and the slower attempt is cancelled.
+If the first target does not respond within the hedge delay, the request is also
+sent to a second one. As soon as one responds, the other attempt is cancelled.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 from forklift.shell import exchange
 from forklift.shell import response_buffer
 
-# Seconds until hedging is tried again, after no healthy target was free or the
-# retry budget was used up.
+# Delay until the next hedge is tried, after no target could be selected for one
+# or an attempt was rejected.
 HEDGE_RETRY_SECONDS = 0.1
 
 
@@ -24,8 +24,8 @@
 
     Attributes:
         selection: The target.
-        buffered: Its response.
-        task: Task that returns its result.
+        buffered: Response of the target, which may be withheld from the caller.
+        task: Task that returns the result of the attempt.
     """
 
     selection: load_balancer.Selection
@@ -35,14 +35,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class AttemptResult:
-    """The result of an attempt."""
+    """A completed attempt: its target and its result."""
 
     selection: load_balancer.Selection
     result: exchange.Result
 
 
 class HedgedRequest:
-    """The concurrent attempts of one request."""
+    """A request and its concurrent attempts."""
 
     def __init__(
         self,
@@ -57,11 +57,11 @@
 
         Args:
             claim: Determines which attempt may respond to the caller.
-            start_attempt: Starts an attempt, by its target and whether it is
-                a hedge.
-            select_hedge: Selects the target of a hedge, by the first target
-                and the number of attempts in flight; None if no hedge is
-                possible now.
+            start_attempt: Starts an attempt; receives its target and whether
+                it is a hedge.
+            select_hedge: Selects the target of a hedge; receives the first
+                target and the number of attempts in flight. Returns None if
+                no hedge is possible now.
             record_failure: Called with the result of an attempt that failed
                 while another one is in flight.
         """
@@ -74,11 +74,14 @@
     async def run(
         self, first: load_balancer.Selection, delay: float | None
     ) -> AttemptResult:
-        """Returns the attempt that responded, or else the last to fail.
+        """Runs attempts until one responds or all have failed.
 
         Args:
             first: Target of the first attempt.
             delay: Seconds until the request is hedged; None for no hedge.
+
+        Returns:
+            The attempt that responded; otherwise the last one that failed.
         """
         self._add(self._start_attempt(first, False))
         try:
@@ -92,12 +95,14 @@
                     delay = self._try_hedge(first)
                     continue
                 attempt = self._attempt_by_task.pop(done.pop())
-                ended = AttemptResult(attempt.selection, attempt.task.result())
+                completed = AttemptResult(
+                    attempt.selection, attempt.task.result()
+                )
                 has_responded = self._claim.owner is attempt.buffered
                 if has_responded or not self._attempt_by_task:
-                    return ended
-                self._record_failure(ended)
-                ending = ended.result.ending
+                    return completed
+                self._record_failure(completed)
+                ending = completed.result.ending
                 if ending.outcome is messages.Outcome.NOT_RUN:
                     delay = HEDGE_RETRY_SECONDS
         finally:
@@ -110,7 +115,7 @@
         """Starts a hedge if possible.
 
         Returns:
-            Seconds until the next try; None for no further one.
+            Seconds until the next try; None if no further hedge is tried.
         """
         if self._claim.owner is not None:
             return None
--- a/forklift/shell/local_targets.py
+++ b/forklift/shell/local_targets.py
@@ -23,8 +23,8 @@
 Reason = messages.Reason
 Signal = health.Signal
 
-# Size of a random crash ID, which is unique in the fleet.
-_CRASH_BITS = 63
+# Size of a random crash ID, in bits; IDs are unique in the fleet.
+_CRASH_ID_BITS = 63
 _SIGNAL_BY_REASON = {
     Reason.CONNECT_FAILED: Signal.UNREACHABLE,
     Reason.SHED: Signal.SHED,
@@ -36,11 +36,11 @@
     """One incarnation of a target of this instance.
 
     Attributes:
-        reported_name: Name that the target reports; the name of the admission
-            controller is that of the incarnation.
+        reported_name: Name that the target reports. The name of the incarnation
+            is `controller.name`.
         controller: Admission controller of the target.
         pool: Connections to the target.
-        candidates: Requests that a crash of the target may be blamed on.
+        candidates: Requests that may have caused a crash of the target.
     """
 
     reported_name: str
@@ -84,7 +84,7 @@
 
 
 class LocalTargets:
-    """Runs requests on local targets, by the decisions of their controllers.
+    """Admits requests to the targets of this instance and runs them.
 
     Attributes:
         by_name: Targets, by the name of the incarnation.
@@ -111,9 +111,10 @@
         self._on_evidence = on_evidence
         self.by_name: dict[str, LocalTarget] = {}
         self.fences = fences.Fences()
-        # Current names, by the names before the start times were known.
+        # Current names of targets, by the names that were used before their
+        # start times were known.
         self._name_by_previous: dict[str, str] = {}
-        self._decision_by_id: dict[object, asyncio.Future] = {}
+        self._decision_future_by_id: dict[object, asyncio.Future] = {}
         self._detached: set[asyncio.Task] = set()
         self.running = 0
 
@@ -148,7 +149,7 @@
         )
 
     def leave(self, name: str) -> None:
-        """Handles that a target is gone."""
+        """Marks a target as gone."""
         local_target = self.by_name[name]
         self._apply_decisions(local_target, local_target.controller.mark_left())
 
@@ -214,7 +215,7 @@
         """Prevents a request from starting.
 
         Returns:
-            Whether the request is proven never to run.
+            Whether it is certain that the request never starts.
         """
         return self.fences.fence(key, self._clock.monotonic())
 
@@ -241,10 +242,10 @@
                 ticket, self._clock.monotonic()
             )
             if isinstance(decision, admission.Queued):
-                decision = await self._wait(local_target, ticket)
+                decision = await self._wait_for_slot(local_target, ticket)
             if isinstance(decision, admission.Refused):
                 self.fences.check_not_started(ticket.id)
-                load = self._load(local_target, request.route)
+                load = self._current_load(local_target, request.route)
                 return exchange.not_run(
                     decision.reason, decision.retry_after, load
                 )
@@ -252,21 +253,21 @@
         finally:
             self.running -= 1
 
-    async def _wait(
+    async def _wait_for_slot(
         self, local_target: LocalTarget, ticket: admission.Ticket
     ) -> admission.Decision:
         future = asyncio.get_running_loop().create_future()
-        self._decision_by_id[ticket.id] = future
+        self._decision_future_by_id[ticket.id] = future
         try:
             return await future
         except asyncio.CancelledError:
-            started = future.done() and not future.cancelled()
-            if started and isinstance(future.result(), admission.Started):
+            is_decided = future.done() and not future.cancelled()
+            if is_decided and isinstance(future.result(), admission.Started):
                 self._finish(local_target, ticket, None)
             local_target.controller.cancel(ticket)
             raise
         finally:
-            self._decision_by_id.pop(ticket.id, None)
+            self._decision_future_by_id.pop(ticket.id, None)
 
     async def _run_admitted(
         self,
@@ -275,7 +276,7 @@
         request: exchange.Request,
         sink: exchange.Sink,
     ) -> exchange.Result:
-        run = upstream.UpstreamRequest(
+        upstream_request = upstream.UpstreamRequest(
             local_target.pool,
             request,
             local_target.reported_name,
@@ -288,18 +289,21 @@
         try:
             remaining = ticket.deadline - self._clock.monotonic()
             async with asyncio.timeout(max(0.0, remaining)):
-                status = await run.execute(
+                status = await upstream_request.execute(
                     lambda: self._try_start(
                         local_target, ticket, request.fingerprint
                     ),
-                    lambda: self._load(local_target, request.route),
+                    lambda: self._current_load(local_target, request.route),
                     sink,
                 )
             candidates.discard(ticket.id)
-            signal = self._signal(local_target.controller.service, status)
+            signal = self._health_signal(
+                local_target.controller.service, status
+            )
             if signal is Signal.SUCCESS:
-                # Error responses do not count: a target that is unhealthy may
-                # fail a request early that would crash it otherwise.
+                # An error response is no evidence that a request is harmless:
+                # an unhealthy target may reject a request that would crash it
+                # otherwise.
                 self._record_success(request.fingerprint)
             result = exchange.answered(status, local_target.controller.name)
         except connection_pool.NotRun as error:
@@ -329,21 +333,21 @@
                 detail=str(error),
             )
         except TimeoutError:
-            # While it ran, the health check already recorded that it was late.
+            # The health of the target already reflects the overdue request.
             result = self._timeout_result(ticket)
         finally:
             candidates.mark_ended(ticket.id, self._clock.monotonic())
             self._finish(local_target, ticket, signal)
         return dataclasses.replace(
-            result, load=self._load(local_target, request.route)
+            result, load=self._current_load(local_target, request.route)
         )
 
     async def _has_crashed(
         self, local_target: LocalTarget, ticket: admission.Ticket
     ) -> bool:
-        """Returns whether a target crashed after an incomplete response.
+        """Returns whether an incomplete response was due to a crash.
 
-        Most targets keep running after one.
+        Most targets keep running after an incomplete response.
         """
         if not local_target.candidates.contains(ticket.id):
             # Another request has already detected the crash.
@@ -356,25 +360,26 @@
         return not local_target.candidates.contains(ticket.id)
 
     def handle_crash(self, local_target: LocalTarget) -> None:
-        """Handles that a target exited.
+        """Records a crash if a target exited unexpectedly.
 
-        Unless it announced that it is leaving, or ran nothing, this is a crash,
-        which is recorded as evidence against the requests that it ran.
+        The crash is evidence against the requests that the target ran. No
+        crash is recorded if the target ran no requests or had announced that it
+        was leaving.
         """
         now = self._clock.monotonic()
-        running = local_target.candidates.take_fingerprints(now)
-        if not running or local_target.controller.target_leaving:
+        fingerprints = local_target.candidates.take_fingerprints(now)
+        if not fingerprints or local_target.controller.target_leaving:
             return
-        crash = secrets.randbits(_CRASH_BITS)
-        self._quarantine.record_crash(running, crash, now)
+        crash_id = secrets.randbits(_CRASH_ID_BITS)
+        self._quarantine.record_crash(fingerprints, crash_id, now)
         _log.warning(
             "target_crashed",
             target=local_target.controller.name,
-            running=[one.hex() for one in running],
+            running=[fingerprint.hex() for fingerprint in fingerprints],
             held=[
-                one.hex()
-                for one in running
-                if self._quarantine.quarantined_for(one, now)
+                fingerprint.hex()
+                for fingerprint in fingerprints
+                if self._quarantine.quarantined_for(fingerprint, now)
             ],
         )
         self._on_evidence()
@@ -402,14 +407,16 @@
         if ticket.deadline <= now:
             return Reason.DEADLINE
         if self._quarantine.quarantined_for(fingerprint, now):
-            # It crashed other targets while it was queued.
+            # The request crashed other targets while it was queued.
             return Reason.QUARANTINED
         if not self.fences.try_start(ticket.id, now):
             return Reason.FENCED
         local_target.candidates.add(ticket.id, fingerprint, now)
         return None
 
-    def _load(self, local_target: LocalTarget, route: str) -> messages.Load:
+    def _current_load(
+        self, local_target: LocalTarget, route: str
+    ) -> messages.Load:
         now = self._clock.monotonic()
         failure_percent = self._failure_percent(
             local_target.controller.service, now
@@ -419,7 +426,7 @@
             failure_percent=failure_percent,
         )
 
-    def _signal(self, service: str, status: int) -> Signal:
+    def _health_signal(self, service: str, status: int) -> Signal:
         service_policy: policy.ServicePolicy = self._find_policy(service)
         return (
             Signal.ERROR
@@ -452,13 +459,20 @@
         decisions: list[admission.Decision],
         version: int = -1,
     ) -> None:
-        """Wakes the queued requests that a controller has decided on."""
+        """Passes the decisions of a controller to the queued requests.
+
+        Args:
+            local_target: The target of the controller.
+            decisions: The decisions.
+            version: Version of the controller before it decided. If it has
+                changed, observers are notified; by default, they always are.
+        """
         for decision in decisions:
-            future = self._decision_by_id.pop(decision.ticket.id, None)
+            future = self._decision_future_by_id.pop(decision.ticket.id, None)
             if future is not None and not future.done():
                 future.set_result(decision)
             elif isinstance(decision, admission.Started):
-                # The sender is gone; the slot is free for the next request.
+                # The sender is gone, so the slot is released.
                 self._finish(local_target, decision.ticket, None)
         if version != local_target.controller.version:
             self._on_change(local_target.controller)
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -1,9 +1,9 @@
 """HTTP/1.1 client that sends a request to a target.
 
-A target may close the connection early, respond twice, send a late response in
-place of the next one, or respond before it has read the request body. So the
-request ID of a response is checked, small responses are buffered until they are
-complete, and a connection is only reused if no data is left on it.
+A target may close the connection early, respond twice, respond late to an
+earlier request, or respond before it has read the request body. Therefore the
+request ID of each response is checked, small responses are buffered until they
+are complete, and a connection is only reused if no data is left on it.
 """
 
 import asyncio
@@ -26,25 +26,24 @@
 _log = structlog.get_logger(__name__)
 Reason = messages.Reason
 
-# Seconds for which a connection may be idle if the target sends no Keep-Alive
-# timeout.
+# Maximum idle time of a connection if the target sends no Keep-Alive timeout.
 DEFAULT_KEEP_ALIVE_SECONDS = 0.8
-# Fraction of the Keep-Alive timeout that is used, as the target starts to count
-# it earlier than this process.
+# Fraction of the Keep-Alive timeout for which a connection may be idle, so that
+# it is not reused just as the target closes it.
 KEEP_ALIVE_FRACTION = 0.7
-# Maximum size of responses that are buffered until complete, in bytes.
+# Responses of at most this size are buffered until they are complete.
 MAX_BUFFERED_BYTES = 262_144
 MAX_HEAD_BYTES = 65_536
-# Maximum number of responses to other requests that are skipped; after more,
-# the connection is closed.
+# Maximum number of responses to other requests that are skipped before the
+# request fails and its connection is closed.
 MAX_STRAY_RESPONSES = 3
-_BODILESS = (204, 304)
-# Values of more digits are ignored as invalid.
-_KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d{1,9})\b", re.IGNORECASE)
+_BODILESS_STATUSES = (204, 304)
+# Values of more than nine digits are invalid.
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d{1,9})\b", re.IGNORECASE)
 
 
 class IncompleteResponse(errors.ForkliftError):
-    """A request was sent, but there is no complete valid response."""
+    """A request was sent, but no complete valid response was received."""
 
     def __init__(self, reason: Reason, detail: str):
         self.reason = reason
@@ -62,7 +61,7 @@
         status: HTTP status.
         headers: End-to-end headers.
         length: Declared length of the body; -1 if none is declared.
-        closes: Whether the target closes the connection afterwards.
+        closes: Whether the target closes the connection after the response.
         keep_alive: Seconds for which the connection may be idle.
     """
 
@@ -80,8 +79,8 @@
         self,
         pool: connection_pool.Pool,
         request: exchange.Request,
-        expected: str,
-        target: str,
+        expected_target: str,
+        incarnation: str,
         header_names: header_fields.HeaderNames,
         now: Callable[[], float],
     ):
@@ -90,15 +89,17 @@
         Args:
             pool: Connections to the target.
             request: The request.
-            expected: Name that the target must have; sent with the request.
-            target: Name of the incarnation, for responses and logs.
+            expected_target: Name that the target must have; sent with the
+                request.
+            incarnation: Name of the target's incarnation, for responses and
+                logs.
             header_names: Names of header fields.
             now: Returns monotonic seconds.
         """
         self._pool = pool
         self._request = request
-        self._expected = expected
-        self._target = target
+        self._expected_target = expected_target
+        self._incarnation = incarnation
         self._header_names = header_names
         self._now = now
         self._stray_count = 0
@@ -124,7 +125,8 @@
 
         Raises:
             connection_pool.NotRun: The target did not run the request.
-            IncompleteResponse: It was sent; there is no complete response.
+            IncompleteResponse: The request was sent, but no complete response
+                was received.
             tcp_stream.ConnectionLost: The sink's connection is lost.
         """
         connection = await self._pool.acquire(self._request.idempotent)
@@ -133,7 +135,7 @@
             reason = try_start()
             if reason is not None:
                 raise connection_pool.NotRun(
-                    reason, "it must not start any more"
+                    reason, "the request may no longer start"
                 )
             await self._send_and_receive(connection, load, sink)
             is_complete = True
@@ -161,8 +163,8 @@
         upload = asyncio.create_task(self._upload(connection, protocol))
         try:
             await self._receive_response(connection, protocol, load, sink)
-            # If the target responded before it read the whole body, the rest
-            # must not be taken for the next request.
+            # If the target responded before the whole body was sent, it may
+            # take the rest for the next request.
             self._reusable = self._reusable and upload.done()
         finally:
             upload.cancel()
@@ -190,7 +192,7 @@
         if http.value(request.headers, names.request_id) is None:
             headers.append((names.request_id, request.id.encode()))
         headers.append((names.deadline, str(remaining).encode()))
-        headers.append((names.expected, self._expected.encode()))
+        headers.append((names.expected, self._expected_target.encode()))
         if request.origin:
             headers.append((names.origin, request.origin.encode()))
         if request.organisation:
@@ -224,7 +226,7 @@
             tcp_stream.ConnectionLost,
             TimeoutError,
         ) as error:
-            # The target must not take the request for complete.
+            # Otherwise the target might take the body for complete.
             _log.info(
                 "upload_failed", request=self._request.id, detail=str(error)
             )
@@ -237,12 +239,14 @@
         load: Callable[[], messages.Load],
         sink: exchange.Sink,
     ) -> None:
-        reader = protocol
+        response_protocol = protocol
         while True:
-            response = await self._next_response(connection, reader)
+            response = await self._next_response(connection, response_protocol)
             if self._is_own_response(response):
                 break
-            reader = await self._skip_stray_response(connection, reader)
+            response_protocol = await self._skip_stray_response(
+                connection, response_protocol
+            )
         request_id = http.value(
             http.fields(response), self._header_names.request_id
         )
@@ -253,9 +257,11 @@
         self.head = self._parse_head(response)
         self._raise_not_run(response)
         response_forwarder = _ResponseForwarder(
-            sink, self.head, self._target, load
+            sink, self.head, self._incarnation, load
+        )
+        await self._forward_body(
+            connection, response_protocol, response_forwarder
         )
-        await self._forward_body(connection, reader, response_forwarder)
 
     async def _next_response(
         self, connection: tcp_stream.Connection, protocol: h11.Connection
@@ -276,11 +282,11 @@
         """Skips a response to another request.
 
         Returns:
-            The protocol state for the next response.
+            The protocol state that parses the next response.
         """
         self._stray_count += 1
         _log.info(
-            "stray_response", request=self._request.id, target=self._target
+            "stray_response", request=self._request.id, target=self._incarnation
         )
         if self._stray_count > MAX_STRAY_RESPONSES:
             raise IncompleteResponse(
@@ -298,8 +304,8 @@
             raise IncompleteResponse(
                 Reason.WRONG_ANSWER, "connection closed after a stray response"
             )
-        # h11 reads one response for each request, so the request is passed to
-        # it again; the result is not sent.
+        # h11 accepts one response per request, so a new protocol state is
+        # passed the same request, without sending it again.
         restarted = self._new_protocol()
         restarted.send(self._request_head())
         if self._request.body.complete:
@@ -323,8 +329,8 @@
                 raise IncompleteResponse(
                     Reason.TARGET_BROKE, "incomplete response body"
                 )
-        clean = protocol.their_state is h11.DONE
-        self._reusable = clean and not protocol.trailing_data[0]
+        is_complete = protocol.their_state is h11.DONE
+        self._reusable = is_complete and not protocol.trailing_data[0]
         await response_forwarder.end()
 
     async def _next_event(
@@ -337,7 +343,8 @@
                     return event
                 data = await connection.read()
                 if not data and connection.error is not None:
-                    # After a reset, a response without a length is incomplete.
+                    # A response without a length is incomplete if it ends with
+                    # a reset.
                     raise IncompleteResponse(
                         Reason.TARGET_BROKE, str(connection.error)
                     )
@@ -352,6 +359,7 @@
         return request_id is None or request_id == self._request.id.encode()
 
     def _raise_not_run(self, response: h11.Response) -> None:
+        """Raises an error if the target rejected the request as not run."""
         status = response.status_code
         if status == 421:
             raise connection_pool.NotRun(
@@ -368,13 +376,15 @@
         chunked = http.value(headers, b"transfer-encoding") is not None
         declared = http.value(headers, b"content-length")
         status = response.status_code
-        bodiless = self._request.method == b"HEAD" or status in _BODILESS
+        bodiless = (
+            self._request.method == b"HEAD" or status in _BODILESS_STATUSES
+        )
         length = int(declared) if declared and not chunked else -1
         if bodiless and declared is None:
             length = 0
-        connection = http.value(headers, b"connection") or b""
-        framed = chunked or declared is not None or bodiless
-        closes = b"close" in connection.lower() or not framed
+        connection_options = http.value(headers, b"connection") or b""
+        is_delimited = chunked or declared is not None or bodiless
+        closes = b"close" in connection_options.lower() or not is_delimited
         excluded = (self._header_names.load,)
         end_to_end = tuple(
             header
@@ -387,21 +397,22 @@
 
 
 class _ResponseForwarder:
-    """Forwards a response; a small one only once it is complete.
+    """Forwards a response; buffers small responses until they are complete.
 
-    So an incomplete small response can be replaced by that of another target.
+    If a small response turns out to be incomplete, nothing of it was forwarded,
+    so the request can still be retried.
     """
 
     def __init__(
         self,
         sink: exchange.Sink,
         head: ResponseHead,
-        target: str,
+        incarnation: str,
         load: Callable[[], messages.Load],
     ):
         self._sink = sink
         self._head = head
-        self._target = target
+        self._incarnation = incarnation
         self._load = load
         self._buffer = bytearray()
         self._has_started = False
@@ -427,7 +438,7 @@
             self._head.status,
             self._head.headers,
             length,
-            self._target,
+            self._incarnation,
             self._load(),
         )
         await self._sink.start(head)
@@ -438,7 +449,9 @@
 
 def _keep_alive_seconds(headers: http.Headers) -> float:
     """Returns the seconds for which the connection may be idle."""
-    match = _KEEP_ALIVE.search(http.value(headers, b"keep-alive") or b"")
+    match = _KEEP_ALIVE_TIMEOUT.search(
+        http.value(headers, b"keep-alive") or b""
+    )
     if match is None:
         return DEFAULT_KEEP_ALIVE_SECONDS
     return int(match[1]) * KEEP_ALIVE_FRACTION
--- a/test/test_proxy.py
+++ b/test/test_proxy.py
@@ -119,11 +119,11 @@
         serving = fleet.proxies[1].local_targets
         run = serving.run
 
-        async def note(target, ticket, *rest):
+        async def record_ticket(target, ticket, *rest):
             seen.append(ticket)
             return await run(target, ticket, *rest)
 
-        serving.run = note
+        serving.run = record_ticket
         fleet.proxies[0].local_targets.by_name["t0"].controller.mark_draining()
         assert (await fleet.ask(0)).status == 200
         assert seen[0].start_by < seen[0].deadline
@@ -360,9 +360,9 @@
     processes.play(work, [[], []])
 
 
-def share_script(fleet, *entries: str) -> None:
+def share_script(fleet, *behaviors: str) -> None:
     """Makes the targets follow one script, in the order of the requests."""
-    shared = list(entries)
+    shared = list(behaviors)
     for target in fleet.targets:
         target.script = shared
     helper.train_latency(
@@ -568,7 +568,7 @@
         ingress.local_targets.drain("t0")
         connection = await ingress.peer_connections.get("p1")
         await ingress.peer_connections.get("p2")
-        # What is sent to p1 is lost without an error.
+        # Messages to p1 are lost without an error.
         connection._frames.send = lambda frame: None
         fleet.proxies[2].local_targets.drain("t2")
         await helper.until(
@@ -586,7 +586,7 @@
         )
         fences = fleet.proxies[1].local_targets.fences
         await helper.until(lambda: len(fences) == 1)
-        # It is proven not to run there, so it is sent to another target.
+        # The request is certain not to run there, so another target runs it.
         fleet.announce(
             fleet.proxies[2],
             2,
@@ -736,7 +736,7 @@
             control=old.directory.own.control,
         )
         await old.stop()
-        await helper.until(lambda: len(picked(other)) == 1)
+        await helper.until(lambda: len(selected_targets(other)) == 1)
         read = dataclasses.replace(old.settings, process=fixed)
         store = adapter.Store(fleet.server.address)
         new = proxy.Proxy(
@@ -746,10 +746,10 @@
         await new.start()
         await helper.until(lambda: new.control_protocols.has_joined)
         fleet.announce(new, 0, sequence=2)
-        await helper.until(lambda: len(picked(other)) == 2)
+        await helper.until(lambda: len(selected_targets(other)) == 2)
         assert not new.target_registry._incarnations._ended
 
-    def picked(one: proxy.Proxy) -> list[str]:
+    def selected_targets(one: proxy.Proxy) -> list[str]:
         return [
             view.name
             for view in one.balancer.views("s")
@@ -814,17 +814,18 @@
     async def work(fleet):
         announced = []
         other = fleet.proxies[1].balancer
-        note = other.record_work_request
+        record_work_request = other.record_work_request
 
-        def heard(target, load, now):
+        def record_announcement(target, load, now):
             announced.append((target, load.idle > proxy.IDLE_TARGET_SECONDS))
-            note(target, load, now)
+            record_work_request(target, load, now)
 
-        other.record_work_request = heard
+        other.record_work_request = record_announcement
         await helper.until(lambda: announced)
         assert set(announced) == {("t0", True)}
         fleet.targets[0].received.clear()
-        # The first one may be sent to the local target, which has had none.
+        # The first request may be sent to the local target, which has received
+        # none.
         for _ in range(2):
             await fleet.ask(1)
         assert len(fleet.targets[0].received) == 1
@@ -905,7 +906,7 @@
 @pytest.mark.parametrize("known", [True, False])
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
 def test_connection_lost_before_the_first_frame_is_no_retry(kind, known):
-    """Nothing was sent, so the request moves on without counting as a retry.
+    """Nothing was sent, so sending to another target does not count as a retry.
 
     The event loop reports the loss in a later iteration; nothing is sent before
     that either.
--- a/test/test_query_of_death.py
+++ b/test/test_query_of_death.py
@@ -22,16 +22,16 @@
 from test import processes
 
 KINDS = ("idempotent", "non_idempotent")
-# Number of targets that such a request may crash before it is quarantined, and
-# number of crashes tolerated after that.
+# Number of targets that a request may crash before it is quarantined.
 CRASHES_TO_QUARANTINE = 3
+# Number of further crashes that the tests permit.
 TOLERATED_CRASHES = 3
-INNOCENT = ("/a/one", "/a/two")
+HARMLESS_PATHS = ("/a/one", "/a/two")
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
-    """Shortens pauses for tests."""
+def shorten_delays(monkeypatch):
+    """Shortens delays for the tests."""
     monkeypatch.setattr(shutdown, "LAME_DUCK_SECONDS", 0.2)
 
 
@@ -41,7 +41,7 @@
         target.crashes_on = text
 
 
-async def revive(fleet: processes.Fleet) -> None:
+async def restart_crashed_targets(fleet: processes.Fleet) -> None:
     """Restarts crashed targets and announces their new incarnations."""
     for number, target in enumerate(fleet.targets):
         if target.down:
@@ -52,15 +52,15 @@
             )
 
 
-def crashes(fleet: processes.Fleet) -> int:
+def total_crashes(fleet: processes.Fleet) -> int:
     return sum(target.crashes for target in fleet.targets)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_crashing_request_reaches_few_targets(kind):
-    """Guards against a retried request that crashes target after target.
+    """A request that its caller repeats does not crash target after target.
 
-    The caller sends it again, at any process.
+    The caller sends the request to one process after the other.
     """
 
     async def work(fleet):
@@ -68,8 +68,8 @@
         for turn in range(12):
             response = await fleet.ask(turn % len(fleet.proxies), "/a/deadly")
             assert response.status in (502, 503)
-            await revive(fleet)
-        assert crashes(fleet) <= CRASHES_TO_QUARANTINE + TOLERATED_CRASHES
+            await restart_crashed_targets(fleet)
+        assert total_crashes(fleet) <= CRASHES_TO_QUARANTINE + TOLERATED_CRASHES
 
     first = processes.record(1, r=processes.route(kind))
     processes.play(work, [[] for _ in range(8)], first=first)
@@ -77,47 +77,47 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_requests_concurrent_with_a_crashing_one_are_served_again(kind):
-    """Guards against quarantining the requests concurrent with the cause.
+    """Only the request that causes the crashes is quarantined.
 
-    If all were retried together on the next target, they would crash again
-    together and could not be told apart.
+    If all were retried together on the next target, the cause could not be
+    told from the other requests.
     """
 
     async def work(fleet):
-        await crash_beside_others(fleet)
-        await revive(fleet)
+        await crash_during_other_requests(fleet)
+        await restart_crashed_targets(fleet)
         for turn in range(len(fleet.proxies)):
-            for path in INNOCENT:
+            for path in HARMLESS_PATHS:
                 response = await fleet.ask(turn, path)
                 assert (response.status, response.body) == (200, scripted.BODY)
-        assert crashes(fleet) <= CRASHES_TO_QUARANTINE + TOLERATED_CRASHES
+        assert total_crashes(fleet) <= CRASHES_TO_QUARANTINE + TOLERATED_CRASHES
 
     first = processes.record(1, r=processes.route(kind))
     processes.play(work, [[] for _ in range(6)], first=first)
 
 
-async def crash_beside_others(fleet: processes.Fleet) -> None:
+async def crash_during_other_requests(fleet: processes.Fleet) -> None:
     """Sends a crashing request while other requests run on every target."""
     for target in fleet.targets:
         target.script += ["hold", "hold"]
     count = len(fleet.proxies)
-    innocent = [
+    harmless = [
         asyncio.create_task(fleet.ask(number, path))
         for number in range(count)
-        for path in INNOCENT
+        for path in HARMLESS_PATHS
     ]
-    await helper.until(lambda: fleet.runs() == len(innocent))
+    await helper.until(lambda: fleet.runs() == len(harmless))
     crash_on(fleet, b"/a/deadly ")
     response = await fleet.ask(0, "/a/deadly")
-    # The request waits for an idle target. It may start late, if the requests
-    # that block the targets time out just before it does.
+    # The crashing request waits for an idle target. It may still start if the
+    # requests that block the targets time out just before it does.
     assert response.status in (502, 503, 504)
     not_run = json.loads(response.body)["outcome"] == "not-run"
     assert not_run == (response.status == 503)
     for target in fleet.targets:
         target.release.set()
         target.script.clear()
-    await asyncio.gather(*innocent)
+    await asyncio.gather(*harmless)
 
 
 def test_retry_after_a_crash_runs_alone():
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("fault", ["reset", "close", "short", "garbage"])
 def test_broken_response_of_a_running_target_is_no_evidence(fault):
-    """Broken responses are frequent without a crash of the target."""
+    """Incomplete responses are common without a crash of the target."""
 
     async def work(fleet):
         assert (await fleet.ask()).status == 502
@@ -200,8 +200,8 @@
         crash_on(fleet, b"/a/deadly ")
         for _ in range(3):
             await fleet.ask(0, "/a/deadly")
-            await revive(fleet)
-        before = crashes(fleet)
+            await restart_crashed_targets(fleet)
+        before = total_crashes(fleet)
         await helper.until(lambda: stored_records(fleet))
         for one in fleet.proxies:
             await one.close()
@@ -220,7 +220,7 @@
         response = await fleet.ask(0, "/a/deadly")
         assert response.status == 503
         assert float(http.value(response.headers, b"retry-after")) > 60
-        assert crashes(fleet) == before
+        assert total_crashes(fleet) == before
 
     processes.play(work, [[], [], []])
 
@@ -267,7 +267,7 @@
         target = fleet.targets[0]
         target.crashes_on = b"/a/deadly "
         await fleet.ask(0, "/a/deadly")
-        await revive(fleet)
+        await restart_crashed_targets(fleet)
         target.crashes_on = b""
         target.script[:] = ["error"]
         await fleet.ask(0, "/a/deadly")
@@ -390,7 +390,7 @@
 
 
 def test_quarantined_request_is_rejected_without_waiting_for_a_slot():
-    """It does not wait for a slot only to be rejected then."""
+    """The request is rejected even while the target has no free slot."""
 
     async def work(fleet):
         ingress, other = fleet.proxies
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -1,4 +1,4 @@
-"""Requests to a target that may misbehave in any way."""
+"""Tests of the HTTP client with targets that violate the protocol."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class Sink:
-    """Records the response."""
+    """Sink that records the response."""
 
     def __init__(self):
         self.has_started = False
@@ -30,8 +30,8 @@
         self.has_started = True
         self.head = head
 
-    async def data(self, piece: bytes) -> None:
-        self.body += piece
+    async def data(self, chunk: bytes) -> None:
+        self.body += chunk
 
     async def end(self) -> None:
         self.complete = True
