--- a/forklift/shell/connection_pool.py
+++ b/forklift/shell/connection_pool.py
@@ -14,7 +14,7 @@
 # Connect timeout for checking whether a target has exited after an incomplete
 # response.
 CHECK_TIMEOUT_SECONDS = 0.25
-# Maximum idle time of a connection that was opened by that check.
+# Maximum idle time of a connection opened to check whether a target has exited.
 CHECK_KEEP_ALIVE_SECONDS = 0.8
 # Connect timeout for requests.
 CONNECT_TIMEOUT_SECONDS = 1.0
--- a/forklift/shell/control_protocols.py
+++ b/forklift/shell/control_protocols.py
@@ -32,7 +32,7 @@
 State = messages.TargetState
 
 # Number of peers that a new process asks for the complete membership.
-JOIN_PEERS = 3
+JOIN_PEER_COUNT = 3
 # Number of processes to which an idle target is announced at a time.
 IDLE_ANNOUNCEMENT_FANOUT = 2
 
@@ -218,7 +218,7 @@
             rumor = messages.Rumor(messages.Liveness.ALIVE, record.info)
             self.directory.apply(rumor, now)
         names = self.directory.alive()
-        for name in self._rng.sample(names, min(JOIN_PEERS, len(names))):
+        for name in self._rng.sample(names, min(JOIN_PEER_COUNT, len(names))):
             info = self.directory.member_by_name[name].info
             join = self.gossip.join(info.control)
             self._send([join])
--- a/forklift/shell/exchange.py
+++ b/forklift/shell/exchange.py
@@ -114,7 +114,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Head:
+class ResponseHead:
     """Head of a response: status and header fields.
 
     Attributes:
@@ -139,7 +139,7 @@
     def has_started(self) -> bool:
         """Whether a head was passed on; no other response can follow it."""
 
-    async def start(self, head: Head) -> None:
+    async def start(self, head: ResponseHead) -> None:
         """Passes the head on."""
 
     async def data(self, chunk: bytes) -> None:
--- a/forklift/shell/forwarding.py
+++ b/forklift/shell/forwarding.py
@@ -146,7 +146,7 @@
     async def run(self) -> exchange.Result:
         """Returns the final result, after retries if necessary."""
         self._balancer.record_request(self._request.service, self._now())
-        result = await self._run_until_stop()
+        result = await self._run_with_stop_deadline()
         if self._withheld is not None and not self._sink.has_started:
             return await self._withheld.flush()
         if result.ending.outcome is not Outcome.ANSWERED:
@@ -196,7 +196,7 @@
             return
         self._timeout.reschedule(self._loop_time(deadline))
 
-    async def _run_until_stop(self) -> exchange.Result:
+    async def _run_with_stop_deadline(self) -> exchange.Result:
         """Runs attempts until one has a final result or the stop deadline."""
         try:
             async with asyncio.timeout_at(None) as self._timeout:
--- a/forklift/shell/http.py
+++ b/forklift/shell/http.py
@@ -97,8 +97,8 @@
         503, "The deadline passed before it ran", "send it again"
     ),
 }
-_NOT_RUN = _ProblemText(503, "The request was not run", "send it again")
-_UNKNOWN = _ProblemText(
+_NOT_RUN_TEXT = _ProblemText(503, "The request was not run", "send it again")
+_UNKNOWN_TEXT = _ProblemText(
     502, "The request may have run", "look up its effect before repeating it"
 )
 
@@ -119,10 +119,12 @@
         request_id: Request ID.
     """
     unknown = outcome is messages.Outcome.UNKNOWN
-    text = _TEXT_BY_REASON.get(reason, _UNKNOWN if unknown else _NOT_RUN)
+    text = _TEXT_BY_REASON.get(
+        reason, _UNKNOWN_TEXT if unknown else _NOT_RUN_TEXT
+    )
     if unknown and text.status == SERVICE_UNAVAILABLE:
         # 503 with Retry-After means that the request did not run.
-        text = _UNKNOWN
+        text = _UNKNOWN_TEXT
     return Problem(
         f"urn:forklift:{reason}",
         text.title,
@@ -163,7 +165,7 @@
 
 
 def check_request(request: h11.Request) -> None:
-    """Rejects requests whose framing or target is ambiguous or unsupported.
+    """Rejects ambiguous or unsupported framing and request targets (URIs).
 
     Raises:
         errors.BadRequest: The request can't be forwarded safely.
--- a/forklift/shell/ingress.py
+++ b/forklift/shell/ingress.py
@@ -564,7 +564,7 @@
         if writer.protocol.their_state is not h11.DONE:
             self._keep_alive = False
         body = http.encode_problem(problem)
-        head = exchange.Head(problem.status, tuple(headers), len(body))
+        head = exchange.ResponseHead(problem.status, tuple(headers), len(body))
         await writer.start(head)
         await writer.data(body)
         await writer.end()
--- a/forklift/shell/local_targets.py
+++ b/forklift/shell/local_targets.py
@@ -67,7 +67,7 @@
         """See `exchange.Sink`."""
         return self._sink.has_started
 
-    async def start(self, head: exchange.Head) -> None:
+    async def start(self, head: exchange.ResponseHead) -> None:
         """See `exchange.Sink`."""
         if not self.is_detached:
             await self._sink.start(head)
--- a/forklift/shell/peer_client.py
+++ b/forklift/shell/peer_client.py
@@ -224,7 +224,7 @@
         if head.request_id != start.request_id:
             self.close()
             return exchange.unknown(messages.Reason.WRONG_ANSWER)
-        response_head = exchange.Head(
+        response_head = exchange.ResponseHead(
             head.status, head.headers, head.length, head.target, head.load
         )
         await sink.start(response_head)
--- a/forklift/shell/peer_server.py
+++ b/forklift/shell/peer_server.py
@@ -38,7 +38,7 @@
         self.window = framing.SendWindow(framing.FLOW_CONTROL_WINDOW)
         self.has_started = False
 
-    async def start(self, head: exchange.Head) -> None:
+    async def start(self, head: exchange.ResponseHead) -> None:
         """See `exchange.Sink`."""
         self.has_started = True
         start = messages.ResponseStart(
--- a/forklift/shell/proxy.py
+++ b/forklift/shell/proxy.py
@@ -181,7 +181,7 @@
             lambda: self.directory.alive(),
         )
         self.control_protocols = control_protocols.ControlProtocols(
-            self._initial_info(),
+            self._initial_process_info(),
             self._rng,
             self.clock,
             self.active_catalog,
@@ -245,7 +245,7 @@
             self.clock,
         )
 
-    def _initial_info(self) -> messages.ProcessInfo:
+    def _initial_process_info(self) -> messages.ProcessInfo:
         own = self.settings.process
         return messages.ProcessInfo(
             name=own.name,
@@ -417,7 +417,10 @@
     def _apply_activated_catalog(
         self, activated: catalog.Catalog, source: str
     ) -> None:
-        """Applies a catalog that was just activated."""
+        """Passes a newly activated catalog to the components that use it.
+
+        Peers receive its version.
+        """
         if source != configuration_loader.STORE_SOURCE:
             self.follower.handle_newer_peer_version(self.clock.monotonic())
         # The tick sends the version to peers.
--- a/forklift/shell/response_buffer.py
+++ b/forklift/shell/response_buffer.py
@@ -52,7 +52,7 @@
         self._sink = sink
         self._claim = claim
         self._is_failure = is_failure
-        self._head: exchange.Head | None = None
+        self._head: exchange.ResponseHead | None = None
         self._body = bytearray()
         self._is_complete = False
 
@@ -75,7 +75,7 @@
         """Length of the buffered body, bytes; 0 if no response is buffered."""
         return self._head.length if self._head is not None else 0
 
-    async def start(self, head: exchange.Head) -> None:
+    async def start(self, head: exchange.ResponseHead) -> None:
         """See `exchange.Sink`."""
         if 0 <= head.length <= MAX_BUFFERED_BYTES:
             self._head = head
--- a/forklift/shell/response_writer.py
+++ b/forklift/shell/response_writer.py
@@ -57,7 +57,7 @@
         self.status = 0
         self.finished = asyncio.get_running_loop().create_future()
 
-    async def start(self, head: exchange.Head) -> None:
+    async def start(self, head: exchange.ResponseHead) -> None:
         """See `exchange.Sink`."""
         await self._wait_for_previous()
         sent = list(head.headers)
--- a/forklift/shell/shutdown.py
+++ b/forklift/shell/shutdown.py
@@ -60,15 +60,15 @@
 def extended_deadlines(
     current: Deadlines, now: float, grace: float
 ) -> Deadlines:
-    """Returns the deadlines after a shutdown was requested again.
+    """Returns the deadlines after another shutdown signal.
 
     The platform may count the grace period from the first or from the last
     signal. Requests at a target get the time from the last signal. Requests
     that were not sent to a target are still rejected at the first deadline, as
-    they would be lost if the platform killed the process then.
+    they would be lost if the platform counted from the first signal.
 
     Args:
-        current: Deadlines before this request.
+        current: Deadlines before this signal.
         now: Monotonic seconds.
         grace: Seconds after which the platform may kill the process.
     """
--- a/forklift/shell/store_follower.py
+++ b/forklift/shell/store_follower.py
@@ -34,7 +34,7 @@
 # Maximum delay after the first failed call, in seconds; each further failure
 # doubles it.
 INITIAL_BACKOFF = 0.2
-# Limit of that maximum, in seconds.
+# Longest backoff in seconds, however many calls have failed in a row.
 MAX_BACKOFF = 0.8
 # Seconds over which the processes spread their announcements after the store
 # lost them.
--- a/forklift/shell/target_registry.py
+++ b/forklift/shell/target_registry.py
@@ -19,7 +19,7 @@
 _log = structlog.get_logger(__name__)
 
 # Number of missed heartbeats after which a target expires.
-MISSED_HEARTBEATS = 3
+MAX_MISSED_HEARTBEATS = 3
 # Seconds added to the time after which a target expires, as heartbeats may be
 # late.
 HEARTBEAT_TOLERANCE = 3.5
@@ -121,10 +121,10 @@
         )
 
     def end_incarnation(self, name: str) -> None:
-        """Records a leave that was not announced to this run of the process.
+        """Marks an incarnation as gone without a leave message from it.
 
-        The target announced the leave to an earlier run, or a new target has
-        its address.
+        Either the target sent the message before this process restarted, or a
+        new target has its address.
 
         Args:
             name: Name of the target's incarnation.
@@ -158,8 +158,8 @@
     def _accepts_service(self, service: str) -> bool:
         """Whether targets of a service are accepted.
 
-        They are if the configuration has the service, if it is the service of
-        the platform's own target, or while no configuration is loaded.
+        A service is accepted if it is in the configuration, if it is the one in
+        the platform settings, or while no configuration is loaded.
         """
         configured = self._active_catalog.catalog.services_by_name
         own = self.settings.platform.service
@@ -218,7 +218,8 @@
     def expire(self, now: float) -> None:
         """Removes targets whose heartbeats stopped."""
         timeout = (
-            MISSED_HEARTBEATS * self._heartbeat_interval + HEARTBEAT_TOLERANCE
+            MAX_MISSED_HEARTBEATS * self._heartbeat_interval
+            + HEARTBEAT_TOLERANCE
         )
         for name, last_seen in list(self._last_seen_by_target.items()):
             if now - last_seen <= timeout:
--- a/forklift/shell/telemetry.py
+++ b/forklift/shell/telemetry.py
@@ -174,21 +174,21 @@
         self.add_counter(
             "forklift.invariants.broken",
             "Broken promises",
-            lambda: _samples_by_key(
+            lambda: _labelled_samples(
                 invariants.violations_by_invariant, "promise"
             ),
         )
         self.add_counter(
             "forklift.expressions.failed",
             "Policy expressions that fell back to their default",
-            lambda: _samples_by_key(
+            lambda: _labelled_samples(
                 expressions.failures_by_expression, "expression"
             ),
         )
         self.add_counter(
             "forklift.unreadable",
             "What came from outside and could not be used, by source",
-            lambda: _samples_by_key(invalid_input.count_by_source, "source"),
+            lambda: _labelled_samples(invalid_input.count_by_source, "source"),
         )
         self.add_gauge(
             "forklift.config.version",
@@ -207,7 +207,7 @@
         )
 
 
-def _samples_by_key(value_by_key: dict, label: str) -> list[Sample]:
+def _labelled_samples(value_by_key: dict, label: str) -> list[Sample]:
     return [(count, {label: str(key)}) for key, count in value_by_key.items()]
 
 
--- a/forklift/shell/upstream.py
+++ b/forklift/shell/upstream.py
@@ -39,7 +39,9 @@
 MAX_STRAY_RESPONSES = 3
 _BODILESS_STATUSES = (204, 304)
 # Values of more than nine digits are invalid.
-_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d{1,9})\b", re.IGNORECASE)
+_KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(
+    rb"timeout\s*=\s*(\d{1,9})\b", re.IGNORECASE
+)
 
 
 class IncompleteResponse(errors.ForkliftError):
@@ -434,7 +436,7 @@
 
     async def _start(self, length: int) -> None:
         self._has_started = True
-        head = exchange.Head(
+        head = exchange.ResponseHead(
             self._head.status,
             self._head.headers,
             length,
@@ -449,7 +451,7 @@
 
 def _keep_alive_seconds(headers: http.Headers) -> float:
     """Returns the seconds for which the connection may be idle."""
-    match = _KEEP_ALIVE_TIMEOUT.search(
+    match = _KEEP_ALIVE_TIMEOUT_PATTERN.search(
         http.value(headers, b"keep-alive") or b""
     )
     if match is None:
--- a/forklift_lab/soak.py
+++ b/forklift_lab/soak.py
@@ -104,7 +104,7 @@
 # the seconds that are played on, in which the lease of a target that is taken
 # for silent ends and its work is missed.
 HEARTBEAT_MS = 500
-OUTLIVES = target_registry.MISSED_HEARTBEATS * HEARTBEAT_MS / 1000
+OUTLIVES = target_registry.MAX_MISSED_HEARTBEATS * HEARTBEAT_MS / 1000
 OUTLIVES += target_registry.HEARTBEAT_TOLERANCE + WORK_WITHIN + 0.5
 # Pause of a caller between two requests, seconds.
 THINKS = 0.1
--- a/test/helper.py
+++ b/test/helper.py
@@ -20,11 +20,11 @@
 
     def __init__(self):
         self.has_started = False
-        self.heads: list[exchange.Head] = []
+        self.heads: list[exchange.ResponseHead] = []
         self.body = b""
         self.ended = 0
 
-    async def start(self, head: exchange.Head) -> None:
+    async def start(self, head: exchange.ResponseHead) -> None:
         self.has_started = True
         self.heads.append(head)
 
--- a/test/test_ingress.py
+++ b/test/test_ingress.py
@@ -100,7 +100,7 @@
             self.cancelled.append(path)
             raise
         body = path.encode()
-        await sink.start(exchange.Head(200, (), len(body)))
+        await sink.start(exchange.ResponseHead(200, (), len(body)))
         await sink.data(body)
         await sink.end()
         return exchange.answered(200, "t")
@@ -356,7 +356,7 @@
             if request.path != b"/a/1":
                 return await handle(request, sink)
             rig.requests.append(request)
-            await sink.start(exchange.Head(200, (), -1))
+            await sink.start(exchange.ResponseHead(200, (), -1))
             await may_finish.wait()
             await sink.end()
             return exchange.answered(200, "t")
@@ -453,7 +453,7 @@
         )
 
         async def write_response(status: int) -> None:
-            await writer.start(exchange.Head(status, (), 0))
+            await writer.start(exchange.ResponseHead(status, (), 0))
             await writer.end()
 
         tasks = [
--- a/test/test_response_buffer.py
+++ b/test/test_response_buffer.py
@@ -7,8 +7,8 @@
 from test import helper
 
 
-def head(length: int, status: int = 200) -> exchange.Head:
-    return exchange.Head(status, (), length)
+def head(length: int, status: int = 200) -> exchange.ResponseHead:
+    return exchange.ResponseHead(status, (), length)
 
 
 async def write_response(
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -303,7 +303,7 @@
     written = bytearray()
 
     async def handle(request, sink):
-        await sink.start(exchange.Head(200, (), -1))
+        await sink.start(exchange.ResponseHead(200, (), -1))
         transport = caller.session.connection.transport
         while not transport.get_write_buffer_size():
             written.extend(chunk)
--- a/test/test_upstream.py
+++ b/test/test_upstream.py
@@ -26,7 +26,7 @@
         self.body = b""
         self.complete = False
 
-    async def start(self, head: exchange.Head) -> None:
+    async def start(self, head: exchange.ResponseHead) -> None:
         self.has_started = True
         self.head = head
 
